--- a/packages/limits/HandoverGuard.h
+++ b/packages/limits/HandoverGuard.h
@@ -11,7 +11,7 @@
 #ifndef SHALLOTSHIFT_LIMITS_HANDOVERGUARD_H
 #define SHALLOTSHIFT_LIMITS_HANDOVERGUARD_H
 
-#include "limits/Allotment.h"
+#include "limits/SlotAllocation.h"
 
 #include <optional>
 
--- a/packages/limits/Allotment.cpp
+++ b/packages/limits/SlotAllocation.cpp
@@ -1,4 +1,4 @@
-#include "limits/Allotment.h"
+#include "limits/SlotAllocation.h"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/limits/Allotment.h
+++ b/packages/limits/SlotAllocation.h
@@ -1,4 +1,4 @@
-//===- Allotment.h - Who holds the slots of which upstream ------*- C++ -*-===//
+//===- SlotAllocation.h - Upstream slots held by each daemon ----*- C++ -*-===//
 //
 // Slots and connections of an upstream are limits on the whole fleet. Every
 // daemon allocates all of them by the same pure function of the configuration
@@ -21,8 +21,8 @@
 // Two daemons may hold different pictures for a while: HandoverGuard.h.
 //
 //===----------------------------------------------------------------------===//
-#ifndef SHALLOTSHIFT_LIMITS_ALLOTMENT_H
-#define SHALLOTSHIFT_LIMITS_ALLOTMENT_H
+#ifndef SHALLOTSHIFT_LIMITS_SLOTALLOCATION_H
+#define SHALLOTSHIFT_LIMITS_SLOTALLOCATION_H
 
 #include "shallotshift/model.h"
 
@@ -101,4 +101,4 @@
 
 } // namespace shallot
 
-#endif // SHALLOTSHIFT_LIMITS_ALLOTMENT_H
+#endif // SHALLOTSHIFT_LIMITS_SLOTALLOCATION_H
--- a/packages/limits/SlotQueue.h
+++ b/packages/limits/SlotQueue.h
@@ -13,8 +13,8 @@
 #define SHALLOTSHIFT_LIMITS_SLOTQUEUE_H
 
 #include "limits/AdmissionDecision.h"
-#include "limits/Allotment.h"
 #include "limits/ClippedMean.h"
+#include "limits/SlotAllocation.h"
 
 #include <optional>
 #include <set>
--- a/tests/limits.cmake
+++ b/tests/limits.cmake
@@ -11,4 +11,4 @@
 shallot_bench(bench_overload PACKAGES limits TEST bench_overload
   SOURCES performance/BenchOverload.cpp performance/OverloadModel.cpp)
 shallot_bench(bench_allotment PACKAGES limits TEST bench_allotment
-  SOURCES performance/BenchAllotment.cpp)
+  SOURCES performance/BenchSlotAllocation.cpp)
