--- a/packages/daemon/ControlPlane.cpp
+++ b/packages/daemon/ControlPlane.cpp
@@ -124,7 +124,8 @@
 
 void ControlPlane::redeal() {
   if (Fleet.Conf)
-    Fleet.Allocation = Allotment::make(*Fleet.Conf, Fleet.View, Fleet.Self);
+    Fleet.Allocation =
+        SlotAllocation::make(*Fleet.Conf, Fleet.View, Fleet.Self);
 }
 
 void ControlPlane::installed(const InstalledConfig &C) {
--- a/packages/daemon/FleetState.h
+++ b/packages/daemon/FleetState.h
@@ -17,7 +17,7 @@
   AvailabilityZone Zone;
   ConfigPtr Conf; ///< Null until the first was installed.
   FleetView View;
-  Allotment Allocation;
+  SlotAllocation Allocation;
 
   /// The member of this identity, or null.
   const Member *find(const DaemonId &Id) const;
--- a/packages/daemon/SlotScheduler.cpp
+++ b/packages/daemon/SlotScheduler.cpp
@@ -107,7 +107,7 @@
     R.Expiry = Loop.after(*Next - Loop.now(), [this, Id] { startWaiting(Id); });
 }
 
-void SlotScheduler::update(const Allotment &Allocation, const Preset &P) {
+void SlotScheduler::update(const SlotAllocation &Allocation, const Preset &P) {
   Guard.setGuardTime(guardTime(P));
   apply(Guard.update(Allocation, Loop.now()));
   scheduleGuard();
--- a/packages/daemon/SlotScheduler.h
+++ b/packages/daemon/SlotScheduler.h
@@ -33,7 +33,7 @@
   void cancel(TicketId Id);
 
   /// A new allocation of slots. A gained slot rests for the guard time of \p P.
-  void update(const Allotment &Allocation, const Preset &P);
+  void update(const SlotAllocation &Allocation, const Preset &P);
   /// What may be used of \p Id now.
   Share usable(const UpstreamId &Id) const { return Guard.usable(Id); }
   /// The queue for slots of \p Id; empty when none is held.
--- a/packages/limits/HandoverGuard.cpp
+++ b/packages/limits/HandoverGuard.cpp
@@ -48,7 +48,7 @@
   return Changed;
 }
 
-std::vector<ShareChange> HandoverGuard::update(const Allotment &A,
+std::vector<ShareChange> HandoverGuard::update(const SlotAllocation &A,
                                                Instant Now) {
   std::vector<ShareChange> Out;
   for (const auto &[Id, Held] : A.mine())
--- a/packages/limits/HandoverGuard.h
+++ b/packages/limits/HandoverGuard.h
@@ -2,10 +2,10 @@
 //
 // When the fleet changes, daemons learn of it at different times. For a while
 // the old holder of a slot may still use it while the new one already believes
-// it is its own. The guard turns what this daemon holds (Allotment) into what
-// it may use: a gained slot only after guardTime(), a lost one not from this
-// moment on. Work that is already running on a lost slot is counted against
-// the share until it is done (SlotQueue).
+// it is its own. The guard turns what this daemon holds (SlotAllocation) into
+// what it may use: a gained slot only after guardTime(), a lost one not from
+// this moment on. Work that is already running on a lost slot is counted
+// against the share until it is done (SlotQueue).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_HANDOVERGUARD_H
@@ -49,7 +49,7 @@
 
   /// Takes a new deal and returns what changed at once: losses, and gains that
   /// had rested long enough.
-  std::vector<ShareChange> update(const Allotment &A, Instant Now);
+  std::vector<ShareChange> update(const SlotAllocation &A, Instant Now);
 
   /// Gains that have rested long enough by \p Now.
   std::vector<ShareChange> due(Instant Now);
--- a/packages/limits/SlotAllocation.cpp
+++ b/packages/limits/SlotAllocation.cpp
@@ -272,9 +272,9 @@
 
 } // namespace
 
-Allotment Allotment::make(const Config &C, const FleetView &V,
-                          const DaemonId &Self) {
-  Allotment A;
+SlotAllocation SlotAllocation::make(const Config &C, const FleetView &V,
+                                    const DaemonId &Self) {
+  SlotAllocation A;
   A.ViewNumber = V.Number;
   A.Generation = C.generation();
   auto Members = std::make_shared<const std::vector<Member>>(dealtMembers(V));
@@ -302,19 +302,19 @@
   return A;
 }
 
-std::span<const Holder> Allotment::holders(const UpstreamId &Id) const {
+std::span<const Holder> SlotAllocation::holders(const UpstreamId &Id) const {
   auto It = ByUpstream.find(Id);
   if (It == ByUpstream.end())
     return {};
   return std::span(All).subspan(It->second.First, It->second.Count);
 }
 
-Share Allotment::mine(const UpstreamId &Id) const {
+Share SlotAllocation::mine(const UpstreamId &Id) const {
   auto It = Own.find(Id);
   return It == Own.end() ? Share{} : It->second;
 }
 
-std::size_t Allotment::memoryBytes() const {
+std::size_t SlotAllocation::memoryBytes() const {
   // A node of an unordered_map: the value, the hash and the next pointer, and
   // one bucket pointer.
   constexpr std::size_t NodeExtra = 3 * sizeof(void *);
--- a/packages/limits/SlotAllocation.h
+++ b/packages/limits/SlotAllocation.h
@@ -56,16 +56,16 @@
   unsigned Connections = 0;
 };
 
-class Allotment {
+class SlotAllocation {
 public:
   /// Nobody holds anything.
-  Allotment() = default;
+  SlotAllocation() = default;
 
   /// Allocates every upstream of \p C to the members of \p V that take new
   /// work. Of two incarnations of one host only the later counts. \p Self need
   /// not be a member; it then holds nothing.
-  static Allotment make(const Config &C, const FleetView &V,
-                        const DaemonId &Self);
+  static SlotAllocation make(const Config &C, const FleetView &V,
+                             const DaemonId &Self);
 
   /// The holders of an upstream; empty when it is unknown or nobody takes new
   /// work. The sum of their Slots is the upstream's Slots, the sum of their
--- a/tests/AllocationFixture.h
+++ b/tests/AllocationFixture.h
@@ -91,7 +91,8 @@
 }
 
 /// Slots of each host over all upstreams.
-inline std::map<HostId, unsigned> loads(const Config &C, const Allotment &A) {
+inline std::map<HostId, unsigned> loads(const Config &C,
+                                        const SlotAllocation &A) {
   std::map<HostId, unsigned> Out;
   eachUpstream(C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id))
@@ -101,8 +102,8 @@
 }
 
 /// Slots that \p After deals to a host which did not have them in \p Before.
-inline unsigned moved(const Config &C, const Allotment &Before,
-                      const Allotment &After) {
+inline unsigned moved(const Config &C, const SlotAllocation &Before,
+                      const SlotAllocation &After) {
   unsigned Out = 0;
   eachUpstream(C, [&](const Upstream &U) {
     std::map<HostId, unsigned> Had;
--- a/tests/correctness/AllocationIsBalancedAndStable.cpp
+++ b/tests/correctness/AllocationIsBalancedAndStable.cpp
@@ -23,7 +23,7 @@
                 unsigned Trials) {
   ConfigPtr C = config(S);
   FleetView V = fleet(Daemons, DaemonZones);
-  Allotment A = Allotment::make(*C, V, V.Members[0].Id);
+  SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
   Balance B;
   B.Mean = double(S.Services) * S.Replicas * S.Slots / Daemons;
   for (const auto &[Host, N] : loads(*C, A))
@@ -33,7 +33,7 @@
     FleetView Less = V;
     Less.Members.erase(Less.Members.begin() +
                        std::ptrdiff_t(below(Rng, Daemons)));
-    unsigned M = moved(*C, A, Allotment::make(*C, Less, V.Members[0].Id));
+    unsigned M = moved(*C, A, SlotAllocation::make(*C, Less, V.Members[0].Id));
     B.WorstMoved = std::max(B.WorstMoved, M);
     B.MeanMoved += double(M) / Trials;
   }
--- a/tests/correctness/SlotsAreAllocatedOnce.cpp
+++ b/tests/correctness/SlotsAreAllocatedOnce.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-void checkCaps(const Config &C, const Allotment &A) {
+void checkCaps(const Config &C, const SlotAllocation &A) {
   eachUpstream(C, [&](const Upstream &U) {
     unsigned Slots = 0;
     unsigned Connections = 0;
@@ -37,7 +37,7 @@
     ConfigPtr C = config(S);
     // Daemons may be in zones without upstreams and the other way round.
     FleetView V = fleet(1 + below(Rng, 40), 1 + below(Rng, 5));
-    Allotment A = Allotment::make(*C, V, V.Members[0].Id);
+    SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
     checkCaps(*C, A);
     unsigned PerService = S.Replicas * S.Slots;
     if (PerService < V.Members.size())
@@ -57,7 +57,7 @@
 TEST_CASE("today's six daemons hold one slot of each service, of a near one") {
   ConfigPtr C = config(Shape());
   FleetView V = fleet(6, 3);
-  Allotment A = Allotment::make(*C, V, V.Members[2].Id);
+  SlotAllocation A = SlotAllocation::make(*C, V, V.Members[2].Id);
   CHECK(A.mine().size() == 25);
   eachUpstream(*C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id)) {
@@ -76,7 +76,7 @@
   Member Restarted = V.Members[2];
   Restarted.Id.Incarnation = 2;
   V.Members.push_back(Restarted);
-  Allotment A = Allotment::make(*C, V, V.Members[0].Id);
+  SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
   CHECK(A.mine().empty());
   eachUpstream(*C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id)) {
@@ -85,5 +85,5 @@
     }
   });
   checkCaps(*C, A);
-  CHECK(Allotment::make(*C, FleetView(), DaemonId()).mine().empty());
+  CHECK(SlotAllocation::make(*C, FleetView(), DaemonId()).mine().empty());
 }
--- a/tests/failure/SlotsChangeHands.cpp
+++ b/tests/failure/SlotsChangeHands.cpp
@@ -27,7 +27,7 @@
       : Id(std::move(Id)), Guard(GuardTime) {}
 
   void see(const Config &C, const FleetView &V, Instant Now) {
-    Guard.update(Allotment::make(C, V, Id), Now);
+    Guard.update(SlotAllocation::make(C, V, Id), Now);
   }
 
   /// Requests at the upstream: those on usable slots, and those started before
@@ -172,7 +172,7 @@
     FleetView V;
     for (unsigned D = Side; D < Daemons; D += 3)
       V.Members.push_back(daemon(D, Services.Zones));
-    Allotment A = Allotment::make(*C, V, DaemonId());
+    SlotAllocation A = SlotAllocation::make(*C, V, DaemonId());
     eachUpstream(*C, [&](const Upstream &U) {
       for (const Holder &H : A.holders(U->Id)) {
         Sum[U->Id].Slots += H.Slots;
@@ -191,8 +191,8 @@
   FleetView Six = fleet(6, 3);
   FleetView Many = fleet(18, 3);
   DaemonId Self = Six.Members[0].Id;
-  Allotment Wide = Allotment::make(*C, Six, Self);
-  Allotment Narrow = Allotment::make(*C, Many, Self);
+  SlotAllocation Wide = SlotAllocation::make(*C, Six, Self);
+  SlotAllocation Narrow = SlotAllocation::make(*C, Many, Self);
   HandoverGuard G(Seconds(4));
   G.update(Wide, Instant());
   CHECK(G.nextDue() == Instant() + Seconds(4));
--- a/tests/performance/BenchSlotAllocation.cpp
+++ b/tests/performance/BenchSlotAllocation.cpp
@@ -31,11 +31,11 @@
   ConfigPtr C = config(S);
   FleetView V = fleet(Daemons, Daemons < 21 ? 3 : 21);
   DaemonId Self = V.Members[0].Id;
-  Allotment A = Allotment::make(*C, V, Self);
+  SlotAllocation A = SlotAllocation::make(*C, V, Self);
   std::string Size =
       fmt::format("{}_{}x{}", Kind, Daemons, S.Services * S.Replicas);
-  Out.print("make_" + Size, medianMs([&] { A = Allotment::make(*C, V, Self); }),
-            "ms");
+  Out.print("make_" + Size,
+            medianMs([&] { A = SlotAllocation::make(*C, V, Self); }), "ms");
   HandoverGuard G(Seconds(4));
   Out.print("guard_" + Size, medianMs([&] { G.update(A, Instant()); }), "ms");
   Out.atMost("memory_" + Size, double(A.memoryBytes()) / 1024, "KiB", 4096);
@@ -47,7 +47,7 @@
   Out.atMost("slots_max_" + Size, Max, "slots", LoadHeadroom * Mean + 1);
   FleetView Less = V;
   Less.Members.erase(Less.Members.begin() + Daemons / 2);
-  Out.print("moved_" + Size, moved(*C, A, Allotment::make(*C, Less, Self)),
+  Out.print("moved_" + Size, moved(*C, A, SlotAllocation::make(*C, Less, Self)),
             "slots");
 }
 
--- a/tests/performance/OverloadModel.cpp
+++ b/tests/performance/OverloadModel.cpp
@@ -60,7 +60,7 @@
       E.Retries.emplace(Class, Budget(P.RetryBudgetPercent));
     Entries.push_back(std::move(E));
   }
-  dealSlots(View);
+  allocateSlots(View);
   for (Entry &E : Entries)
     E.Guard.setGuardTime(guardTime(Pre));
 }
@@ -313,15 +313,15 @@
   at(Now + ViewSpread, [this] {
     FleetView Left = View;
     std::erase_if(Left.Members, [&](const Member &M) { return lost(M.Zone); });
-    dealSlots(Left);
+    allocateSlots(Left);
   });
 }
 
-void Model::dealSlots(const FleetView &V) {
-  Allocation = Allotment::make(*Cfg, V, DaemonId());
+void Model::allocateSlots(const FleetView &V) {
+  Allocation = SlotAllocation::make(*Cfg, V, DaemonId());
   for (const Member &M : V.Members) {
     unsigned D = DaemonIndex[M.Id.Host];
-    Allotment Own = Allotment::make(*Cfg, V, M.Id);
+    SlotAllocation Own = SlotAllocation::make(*Cfg, V, M.Id);
     auto Use = [this, D](const std::vector<ShareChange> &Changes) {
       for (const ShareChange &C : Changes) {
         HolderQueue &H = holder(D, UpstreamIndex[C.Id]);
--- a/tests/performance/OverloadModel.h
+++ b/tests/performance/OverloadModel.h
@@ -122,7 +122,7 @@
   void reply(TicketId T, ResultCode Code);
   void retryOrFail(TicketId T, ResultCode Code);
   void loseZone();
-  void dealSlots(const FleetView &V);
+  void allocateSlots(const FleetView &V);
   bool lost(const AvailabilityZone &Z) const { return Z == LostZone; }
   HolderQueue &holder(unsigned D, unsigned U) { return Holders[{D, U}]; }
   const CallerClass &drawClass();
@@ -133,7 +133,7 @@
   Preset Pre;
   ConfigPtr Cfg;
   FleetView View;
-  Allotment Allocation;
+  SlotAllocation Allocation;
   AvailabilityZone LostZone;
   std::vector<Upstream> Upstreams; ///< Service s has 3s to 3s + 2.
   std::map<UpstreamId, unsigned> UpstreamIndex;
--- a/tutorial/lesson_03_slots.cpp
+++ b/tutorial/lesson_03_slots.cpp
@@ -62,28 +62,28 @@
   return V;
 }
 
-void show(const Allotment &A) {
+void show(const SlotAllocation &A) {
   for (const Holder &H : A.holders(Up))
     fmt::print("   {} holds {} slot(s) and may open {} connection(s)\n",
                H.Daemon->Id.Host.str(), H.Slots, H.Connections);
 }
 
-unsigned slotsDealt(const Allotment &A) {
+unsigned slotsDealt(const SlotAllocation &A) {
   unsigned Sum = 0;
   for (const Holder &H : A.holders(Up))
     Sum += H.Slots;
   return Sum;
 }
 
-bool holds(const Allotment &A, const DaemonId &D) {
+bool holds(const SlotAllocation &A, const DaemonId &D) {
   return std::ranges::any_of(
       A.holders(Up), [&](const Holder &H) { return H.Daemon->Id == D; });
 }
 
 // Every daemon of V deals for itself; true when all got what \p A has.
-bool allAgree(const Config &C, const FleetView &V, const Allotment &A) {
+bool allAgree(const Config &C, const FleetView &V, const SlotAllocation &A) {
   return std::ranges::all_of(V.Members, [&](const Member &M) {
-    Allotment Own = Allotment::make(C, V, M.Id);
+    SlotAllocation Own = SlotAllocation::make(C, V, M.Id);
     return std::ranges::equal(
         Own.holders(Up), A.holders(Up), [](const Holder &X, const Holder &Y) {
           return X.Daemon->Id == Y.Daemon->Id && X.Slots == Y.Slots;
@@ -99,7 +99,7 @@
   FleetView Six = fleetOfSix();
 
   Lesson::part("2 slots for 6 daemons");
-  Allotment Before = Allotment::make(*C, Six, Six.Members[0].Id);
+  SlotAllocation Before = SlotAllocation::make(*C, Six, Six.Members[0].Id);
   show(Before);
   L.claim(slotsDealt(Before) == 2, "Both slots are dealt, and no third one.");
   L.claim(allAgree(*C, Six, Before), "All six daemons compute the same deal.");
@@ -109,7 +109,7 @@
 
   Lesson::part(Leaver.Host.str() + " leaves as planned");
   FleetView Five = without(Six, Leaver);
-  Allotment After = Allotment::make(*C, Five, Six.Members[0].Id);
+  SlotAllocation After = SlotAllocation::make(*C, Five, Six.Members[0].Id);
   show(After);
   L.claim(slotsDealt(After) == 2, "Both slots are dealt again.");
   L.claim(!holds(After, Leaver), "None to the one that leaves.");
@@ -127,8 +127,8 @@
   const Instant Start = Instant() + Seconds(100);
   const Duration Rest = guardTime(C->preset());
   HandoverGuard New(Rest), Old(Rest);
-  New.update(Allotment::make(*C, Six, Heir->Daemon->Id), Start);
-  New.update(Allotment::make(*C, Five, Heir->Daemon->Id), Start);
+  New.update(SlotAllocation::make(*C, Six, Heir->Daemon->Id), Start);
+  New.update(SlotAllocation::make(*C, Five, Heir->Daemon->Id), Start);
   L.claim(New.usable(Up).Slots == 0 && New.resting() == 1,
           "The gained slot rests.");
   New.due(Start + Rest - Millis(1));
@@ -138,10 +138,10 @@
   L.claim(New.usable(Up).Slots == 1, "Then it may be used.");
 
   Lesson::part("the guard of " + Leaver.Host.str());
-  Old.update(Allotment::make(*C, Six, Leaver), Start);
+  Old.update(SlotAllocation::make(*C, Six, Leaver), Start);
   Old.due(Start + Rest);
   L.claim(Old.usable(Up).Slots == 1, "It had one slot in use.");
-  Old.update(Allotment::make(*C, Five, Leaver), Start + Rest);
+  Old.update(SlotAllocation::make(*C, Five, Leaver), Start + Rest);
   L.claim(Old.usable(Up).Slots == 0, "It may not start anything more there.");
   return L.end();
 }
