--- a/packages/daemon/SlotScheduler.h
+++ b/packages/daemon/SlotScheduler.h
@@ -68,7 +68,7 @@
   EventLoop &Loop;
   HttpClient &Http;
   UpstreamClient &Upstreams;
-  HandoverGuard Guard{ViewSpread};
+  HandoverGuard Guard{ViewPropagationTime};
   TimerHandle GuardTimer;
   std::unordered_map<UpstreamId, Row> Rows;
   std::unordered_map<TicketId, Ticket> Tickets;
--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -78,7 +78,7 @@
   static ReplicaRegistryOptions bookOptions(const FrontSettings &Set);
   /// Over this time a share of the retry allowance is looked back.
   static Duration retrySpan(const FrontSettings &Set) {
-    return Set.Retries.Window + ViewSpread;
+    return Set.Retries.Window + ViewPropagationTime;
   }
   Result<void> open();
   Result<void> openHttp();
--- a/packages/limits/Admission.cpp
+++ b/packages/limits/Admission.cpp
@@ -116,7 +116,7 @@
   Duration Behind =
       startInterval() * (static_cast<std::int64_t>(Better) + InClass);
   Duration ByFloor =
-      startInterval() * static_cast<std::int64_t>(1 / FloorShare) * InClass;
+      startInterval() * static_cast<std::int64_t>(1 / MinClassShare) * InClass;
   return std::min(Behind, ByFloor);
 }
 
@@ -223,7 +223,7 @@
       return;
     for (auto &[Class, Other] : Classes)
       if (!Other.Waiting.empty())
-        Other.Credit += FloorShare;
+        Other.Credit += MinClassShare;
     Q->Credit = std::max(0.0, Q->Credit - 1);
     Q->Rate.started();
     Waiter W = take(*Q, Q->Waiting.begin()->first);
--- a/packages/limits/Admission.h
+++ b/packages/limits/Admission.h
@@ -29,7 +29,7 @@
 
 /// The part of all starts that every class with waiting requests gets, however
 /// many better ones wait.
-inline constexpr double FloorShare = 0.05;
+inline constexpr double MinClassShare = 0.05;
 
 struct AdmissionRequest {
   TicketId Id = 0;
--- a/packages/limits/Budget.cpp
+++ b/packages/limits/Budget.cpp
@@ -5,7 +5,7 @@
 namespace shallot {
 
 Budget::Budget(double Percent)
-    : Percent(Percent), Tokens(Percent > 0 ? BurstFloor : 0) {}
+    : Percent(Percent), Tokens(Percent > 0 ? InitialTokens : 0) {}
 
 void Budget::earn(std::size_t N) {
   Tokens += Percent / 100 * static_cast<double>(N);
@@ -25,7 +25,7 @@
   if (P == Percent)
     return;
   if (Percent == 0)
-    Tokens = BurstFloor;
+    Tokens = InitialTokens;
   if (P == 0)
     Tokens = 0;
   Percent = P;
--- a/packages/limits/Budget.h
+++ b/packages/limits/Budget.h
@@ -18,7 +18,7 @@
 
 /// Tokens that a budget starts with, so that a class with little traffic can
 /// retry at all.
-inline constexpr double BurstFloor = 3;
+inline constexpr double InitialTokens = 3;
 
 /// The most that can be saved up. More would let a quiet hour pay for a storm.
 inline constexpr double MaxBalance = 20;
--- a/packages/limits/GrantedShare.h
+++ b/packages/limits/GrantedShare.h
@@ -26,7 +26,8 @@
 class GrantedShare {
 public:
   /// \p Span: the window and the time in which all daemons see a change
-  /// (ViewSpread). \p First: what counts as granted before the first grant.
+  /// (ViewPropagationTime). \p First: what counts as granted before the first
+  /// grant.
   GrantedShare(Duration Span, double First) : Span(Span), First(First) {}
 
   /// The picture grants \p Part, from 0 to 1, from now on.
--- a/packages/limits/HandoverGuard.cpp
+++ b/packages/limits/HandoverGuard.cpp
@@ -8,7 +8,7 @@
   Duration Longest{0};
   for (const auto &[Class, Policy] : P->Classes)
     Longest = std::max(Longest, Policy.Deadline);
-  return ViewSpread + std::min(Longest, MaxDrainWait);
+  return ViewPropagationTime + std::min(Longest, MaxDrainWait);
 }
 
 Share HandoverGuard::shareOf(const Entry &E) {
--- a/packages/limits/HandoverGuard.h
+++ b/packages/limits/HandoverGuard.h
@@ -19,7 +19,7 @@
 
 /// The time in which every daemon that can be reached has the same picture of
 /// the fleet: failure detection and spread by gossip.
-inline constexpr Duration ViewSpread = Seconds(3);
+inline constexpr Duration ViewPropagationTime = Seconds(3);
 
 /// The most that the longest sub-request still running adds to the guard. A
 /// class with a longer deadline may overlap with the new holder by the rest;
@@ -27,8 +27,8 @@
 /// changes hands idle for half a minute.
 inline constexpr Duration MaxDrainWait = Seconds(2);
 
-/// How long a gained slot rests: ViewSpread and the longest class deadline of
-/// \p P, at most MaxDrainWait.
+/// How long a gained slot rests: ViewPropagationTime and the longest class
+/// deadline of \p P, at most MaxDrainWait.
 Duration guardTime(const Preset &P);
 
 /// What may be used of an upstream has changed.
--- a/tests/correctness/AdmissionEndsEveryEntry.cpp
+++ b/tests/correctness/AdmissionEndsEveryEntry.cpp
@@ -49,7 +49,7 @@
     Running = Out[0].Id;
     Pulls += Running <= 3 ? 1 : 0;
   }
-  CHECK(Pulls == 2); // FloorShare of 50 starts.
+  CHECK(Pulls == 2); // MinClassShare of 50 starts.
 }
 
 TEST_CASE(
--- a/tests/correctness/ExtraWorkIsBounded.cpp
+++ b/tests/correctness/ExtraWorkIsBounded.cpp
@@ -17,7 +17,7 @@
       Base += N;
       for (std::uint64_t Tries = below(Rng, 4); Tries > 0; --Tries)
         Spent += B.trySpend() ? 1 : 0;
-      REQUIRE(Spent <= Base * Percent / 100 + BurstFloor + 0.001);
+      REQUIRE(Spent <= Base * Percent / 100 + InitialTokens + 0.001);
     }
     CHECK(Spent >= Base * Percent / 100 - 1);
   }
--- a/tests/failure/SlotsChangeHands.cpp
+++ b/tests/failure/SlotsChangeHands.cpp
@@ -3,7 +3,8 @@
 // upstream gets more requests at a time than it has slots and sheds them. With
 // the guard a gained slot rests until every reachable daemon has the new
 // picture and the work that ran on the slot is done, so the cap holds as long
-// as pictures spread within ViewSpread; beyond that the overshoot is measured.
+// as pictures spread within ViewPropagationTime; beyond that the overshoot is
+// measured.
 #include "AllocationFixture.h"
 
 #include <doctest/doctest.h>
@@ -144,8 +145,8 @@
 } // namespace
 
 TEST_CASE("pictures that spread in time never take an upstream over its cap") {
-  Overshoot With = worstOf(ViewSpread, guard());
-  Overshoot Without = worstOf(ViewSpread, Duration{0});
+  Overshoot With = worstOf(ViewPropagationTime, guard());
+  Overshoot Without = worstOf(ViewPropagationTime, Duration{0});
   MESSAGE("slots over the cap of ", Services.Slots, ": with guard ", With.Slots,
           ", without ", Without.Slots, "; connections ", With.Connections,
           " and ", Without.Connections);
@@ -156,8 +157,8 @@
 }
 
 TEST_CASE("pictures that come three times too late overshoot a little") {
-  Overshoot With = worstOf(3 * ViewSpread, guard());
-  Overshoot Without = worstOf(3 * ViewSpread, Duration{0});
+  Overshoot With = worstOf(3 * ViewPropagationTime, guard());
+  Overshoot Without = worstOf(3 * ViewPropagationTime, Duration{0});
   MESSAGE("slots over the cap of ", Services.Slots, ": with guard ", With.Slots,
           ", without ", Without.Slots, "; connections ", With.Connections,
           " and ", Without.Connections);
--- a/tests/performance/OverloadModel.cpp
+++ b/tests/performance/OverloadModel.cpp
@@ -310,7 +310,7 @@
       Q.Ends = 1;
       Q.Counted = false;
     }
-  at(Now + ViewSpread, [this] {
+  at(Now + ViewPropagationTime, [this] {
     FleetView Left = View;
     std::erase_if(Left.Members, [&](const Member &M) { return lost(M.Zone); });
     allocateSlots(Left);
