--- a/packages/daemon/Api.cpp
+++ b/packages/daemon/Api.cpp
@@ -190,7 +190,7 @@
   F.Members = P.Fleet.View.Members.size();
   F.Live = liveMembers(P.Fleet.View);
   F.InFlight = P.Searches.inFlight();
-  for (const auto &[Id, Held] : P.Fleet.Allocation.mine())
+  for (const auto &[Id, Held] : P.Fleet.Allocation.heldBySelf())
     F.SlotsHeld += Held.Slots;
   return statusReply(F);
 }
--- a/packages/limits/HandoverGuard.cpp
+++ b/packages/limits/HandoverGuard.cpp
@@ -51,12 +51,12 @@
 std::vector<ShareChange> HandoverGuard::update(const SlotAllocation &A,
                                                Instant Now) {
   std::vector<ShareChange> Out;
-  for (const auto &[Id, Held] : A.mine())
+  for (const auto &[Id, Held] : A.heldBySelf())
     Entries.try_emplace(Id);
   for (auto It = Entries.begin(); It != Entries.end();) {
     auto &[Id, E] = *It;
     Share Before = shareOf(E);
-    Share Held = A.mine(Id);
+    Share Held = A.heldBySelf(Id);
     ripen(E, Now);
     if (Held.Slots > E.Held.Slots)
       gain(E, Held.Slots - E.Held.Slots, Now);
@@ -93,7 +93,7 @@
   return It == Entries.end() ? Share{} : shareOf(It->second);
 }
 
-unsigned HandoverGuard::resting() const {
+unsigned HandoverGuard::pending() const {
   unsigned Sum = 0;
   for (const auto &[Id, E] : Entries)
     for (const Gain &G : E.Resting)
--- a/packages/limits/HandoverGuard.h
+++ b/packages/limits/HandoverGuard.h
@@ -61,7 +61,7 @@
   Share usable(const UpstreamId &Id) const;
 
   /// Slots gained and resting, over all upstreams.
-  unsigned resting() const;
+  unsigned pending() const;
 
 private:
   struct Gain {
--- a/packages/limits/SlotAllocation.cpp
+++ b/packages/limits/SlotAllocation.cpp
@@ -309,7 +309,7 @@
   return std::span(All).subspan(It->second.First, It->second.Count);
 }
 
-Share SlotAllocation::mine(const UpstreamId &Id) const {
+Share SlotAllocation::heldBySelf(const UpstreamId &Id) const {
   auto It = Own.find(Id);
   return It == Own.end() ? Share{} : It->second;
 }
--- a/packages/limits/SlotAllocation.h
+++ b/packages/limits/SlotAllocation.h
@@ -73,10 +73,12 @@
   std::span<const Holder> holders(const UpstreamId &Id) const;
 
   /// What this daemon holds of an upstream; nothing by default.
-  Share mine(const UpstreamId &Id) const;
+  Share heldBySelf(const UpstreamId &Id) const;
 
   /// All that this daemon holds.
-  const std::unordered_map<UpstreamId, Share> &mine() const { return Own; }
+  const std::unordered_map<UpstreamId, Share> &heldBySelf() const {
+    return Own;
+  }
 
   /// The FleetView::Number and generation that it was computed from.
   std::uint64_t viewNumber() const { return ViewNumber; }
--- a/tests/correctness/SlotsAreAllocatedOnce.cpp
+++ b/tests/correctness/SlotsAreAllocatedOnce.cpp
@@ -58,7 +58,7 @@
   ConfigPtr C = config(Shape());
   FleetView V = fleet(6, 3);
   SlotAllocation A = SlotAllocation::make(*C, V, V.Members[2].Id);
-  CHECK(A.mine().size() == 25);
+  CHECK(A.heldBySelf().size() == 25);
   eachUpstream(*C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id)) {
       CHECK(H.Daemon->Zone == U->Zone);
@@ -77,7 +77,7 @@
   Restarted.Id.Incarnation = 2;
   V.Members.push_back(Restarted);
   SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
-  CHECK(A.mine().empty());
+  CHECK(A.heldBySelf().empty());
   eachUpstream(*C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id)) {
       CHECK(takesNewWork(*H.Daemon));
@@ -85,5 +85,5 @@
     }
   });
   checkCaps(*C, A);
-  CHECK(SlotAllocation::make(*C, FleetView(), DaemonId()).mine().empty());
+  CHECK(SlotAllocation::make(*C, FleetView(), DaemonId()).heldBySelf().empty());
 }
--- a/tests/failure/SlotsChangeHands.cpp
+++ b/tests/failure/SlotsChangeHands.cpp
@@ -198,8 +198,8 @@
   G.update(Wide, Instant());
   CHECK(G.nextDue() == Instant() + Seconds(4));
   CHECK(G.due(Instant() + Millis(3999)).empty());
-  CHECK(G.due(Instant() + Seconds(4)).size() == Wide.mine().size());
-  CHECK(G.resting() == 0);
+  CHECK(G.due(Instant() + Seconds(4)).size() == Wide.heldBySelf().size());
+  CHECK(G.pending() == 0);
 
   Instant Later = Instant() + Seconds(10);
   std::vector<ShareChange> Lost = G.update(Narrow, Later);
@@ -207,6 +207,6 @@
   CHECK(Lost[0].Now == Share{});
   CHECK(G.update(Wide, Later + Millis(1)).empty());
   CHECK(G.usable(Lost[0].Id) == Share{});
-  CHECK(G.resting() == Lost.size());
+  CHECK(G.pending() == Lost.size());
   CHECK(G.due(Later + Millis(4001)).size() == Lost.size());
 }
--- a/tutorial/lesson_03_slots.cpp
+++ b/tutorial/lesson_03_slots.cpp
@@ -129,7 +129,7 @@
   HandoverGuard New(Rest), Old(Rest);
   New.update(SlotAllocation::make(*C, Six, Heir->Daemon->Id), Start);
   New.update(SlotAllocation::make(*C, Five, Heir->Daemon->Id), Start);
-  L.claim(New.usable(Up).Slots == 0 && New.resting() == 1,
+  L.claim(New.usable(Up).Slots == 0 && New.pending() == 1,
           "The gained slot rests.");
   New.due(Start + Rest - Millis(1));
   L.claim(New.usable(Up).Slots == 0,
