--- a/packages/crashguard/QuarantineGate.h
+++ b/packages/crashguard/QuarantineGate.h
@@ -24,9 +24,9 @@
 
 /// The store grants a trial in milliseconds. While it is slow a caller does
 /// better to come back than to wait for it.
-inline constexpr Duration MostTrialWait = Millis(250);
+inline constexpr Duration MaxTrialWait = Millis(250);
 /// A trial that another daemon makes is over by then.
-inline constexpr Duration TrialRetry = Millis(400);
+inline constexpr Duration TrialRetryDelay = Millis(400);
 
 /// A caller's attempt, as logs and records name it.
 struct NamedRequest {
--- a/packages/crashguard/QuarantineSync.h
+++ b/packages/crashguard/QuarantineSync.h
@@ -28,15 +28,15 @@
 /// Of one daemon, whatever the size of the fleet. Each record that is written
 /// goes to all daemons, so the fleet's rate and not a daemon's has to be
 /// bounded in a fleet of thousands too.
-inline constexpr double LeastWritesPerSecond = 0.02;
-inline constexpr double MostWritesPerSecond = 2;
+inline constexpr double MinWritesPerSecond = 0.02;
+inline constexpr double MaxWritesPerSecond = 2;
 /// Writes that one daemon may make at once: a request that crashes replicas
 /// takes three or four.
 inline constexpr double WriteBurst = 12;
 
 /// How often writes that found no token, and suspicions that are too old, are
 /// looked at.
-inline constexpr Duration QuarantineTick = Millis(500);
+inline constexpr Duration QuarantineSyncInterval = Millis(500);
 
 template <KindWriter Store, TimerSource Time> class QuarantineSync {
 public:
@@ -45,7 +45,7 @@
                  Random &Rng)
       : T(T), S(S), Kind(std::move(Kind)), Table(Table), Rng(Rng),
         Wait(FirstBackoff, MostBackoff),
-        Writes(MostWritesPerSecond, WriteBurst, T.now()) {}
+        Writes(MaxWritesPerSecond, WriteBurst, T.now()) {}
   QuarantineSync(const QuarantineSync &) = delete;
   QuarantineSync &operator=(const QuarantineSync &) = delete;
 
@@ -53,7 +53,7 @@
   void setMembers(std::size_t Count) {
     double Share =
         FleetWritesPerSecond / double(std::max<std::size_t>(1, Count));
-    Writes.setRate(std::clamp(Share, LeastWritesPerSecond, MostWritesPerSecond),
+    Writes.setRate(std::clamp(Share, MinWritesPerSecond, MaxWritesPerSecond),
                    T.now());
   }
 
@@ -86,8 +86,8 @@
     tryTrial(R, TrialTries, std::move(Done));
   }
 
-  /// To be called every QuarantineTick. \p Prunes: this daemon removes old
-  /// suspicions from the store.
+  /// To be called every QuarantineSyncInterval. \p Prunes: this daemon removes
+  /// old suspicions from the store.
   void tick(WallTime Now, bool Prunes) {
     Table.expire(Now, Prunes);
     pump();
--- a/packages/daemon/QuarantineLink.cpp
+++ b/packages/daemon/QuarantineLink.cpp
@@ -108,7 +108,7 @@
 void QuarantineLink::tick() {
   Sync.setMembers(Fleet.View.Members.size());
   Sync.tick(Loop.wallTime(), Watches());
-  Ticks = Loop.after(QuarantineTick, [this] { tick(); });
+  Ticks = Loop.after(QuarantineSyncInterval, [this] { tick(); });
 }
 
 void QuarantineLink::takeNews(const RecordPage &Page) {
--- a/packages/daemon/SearchService.cpp
+++ b/packages/daemon/SearchService.cpp
@@ -34,7 +34,8 @@
   if (S == Standing::Quarantined)
     return AdmissionDecision::refuse(ResultCode::RequestQuarantined,
                                      Duration(0));
-  return AdmissionDecision::refuse(ResultCode::TrialUnavailable, TrialRetry);
+  return AdmissionDecision::refuse(ResultCode::TrialUnavailable,
+                                   TrialRetryDelay);
 }
 
 } // namespace
@@ -95,7 +96,7 @@
     trialAnswered(Id, Name, Granted);
   };
   R.TrialAsked = true;
-  R.TrialWait = Loop.after(MostTrialWait, [OnDecision] { OnDecision(false); });
+  R.TrialWait = Loop.after(MaxTrialWait, [OnDecision] { OnDecision(false); });
   Crashes.requestTrial(R.Name, OnDecision);
 }
 
--- a/packages/forward/ForwardCaution.cpp
+++ b/packages/forward/ForwardCaution.cpp
@@ -32,7 +32,7 @@
   if (Request.Care == Caution::OneSend)
     return !Sends.empty();
   return Story.Crashed > 0 &&
-         Request.CrashedBefore + Story.Crashed >= EnoughCrashes;
+         Request.CrashedBefore + Story.Crashed >= CrashThreshold;
 }
 
 /// Whether another send may start while the request is suspected.
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -25,7 +25,7 @@
 //
 // A request whose replicas crash may be what crashes them. From the first crash
 // on, and until a run of it ends well, it is at one replica at a time, is not
-// hedged, and is given up when EnoughCrashes replicas have ended under it
+// hedged, and is given up when CrashThreshold replicas have ended under it
 // (package quarantine). A request that only ran beside the guilty one needs one
 // reply for all of its parts to go on at once.
 //
--- a/packages/front/AnswerWriting.cpp
+++ b/packages/front/AnswerWriting.cpp
@@ -61,7 +61,7 @@
 
 OwnAnswer noTrialAnswer() {
   return {
-      ResultCode::TrialUnavailable, TrialRetry,
+      ResultCode::TrialUnavailable, TrialRetryDelay,
       "replicas crashed under this request, and whether they crash of it is "
       "being tried, or cannot be tried now"};
 }
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -54,7 +54,7 @@
       return vet(J);
     turnAway(J, noTrialAnswer());
   };
-  J->Timer = Timers.after(MostTrialWait, [OnDecision] { OnDecision(false); });
+  J->Timer = Timers.after(MaxTrialWait, [OnDecision] { OnDecision(false); });
   Gate.requestTrial(J->Name, OnDecision);
 }
 
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -173,7 +173,7 @@
   /// Ticks from one comparison with the peers to the next: each copies the
   /// revisions of every member.
   static constexpr unsigned CompareEvery = 2;
-  static constexpr unsigned SyncEvery = QuarantineTick / FeedTick;
+  static constexpr unsigned SyncEvery = QuarantineSyncInterval / FeedTick;
 
   static KindWatchOptions options(Duration Pause) {
     KindWatchOptions O;
--- a/packages/quarantine/Quarantine.cpp
+++ b/packages/quarantine/Quarantine.cpp
@@ -64,7 +64,7 @@
 void Quarantine::crashed(const QuarantineRecord &Seen) {
   auto At = Entries.find(Seen.Request);
   if (At == Entries.end()) {
-    if (Entries.size() >= MostEntries)
+    if (Entries.size() >= MaxEntries)
       return;
     At = Entries.emplace(Seen.Request, Entry{Seen}).first;
   } else {
@@ -190,7 +190,7 @@
   const Entry &E = Entries.at(*Unwritten.begin());
   if (E.Clear)
     return QuarantineWrite{E.Shared->Record, E.Shared->Revision, true};
-  if (!E.Shared && SharedCount >= MostShared)
+  if (!E.Shared && SharedCount >= MaxSharedRecords)
     return makeRoom();
   return QuarantineWrite{wanted(E), E.Shared ? E.Shared->Revision : 0};
 }
--- a/packages/quarantine/Quarantine.h
+++ b/packages/quarantine/Quarantine.h
@@ -16,15 +16,15 @@
 //
 // A trial is granted by the store: the write that counts it names the revision
 // that it read, so of any number of daemons one wins, and all of them together
-// make MostTrials at most. One that reached no replica is given back, by a
+// make MaxTrials at most. One that reached no replica is given back, by a
 // write that is made once: were it repeated after a lost reply, it could give
 // back two. Where the trials told nothing, for instance because their daemons
 // ended, they are made anew after EvidenceLifetimeMs: the request may be
 // harmless.
 //
-// Bounds: a flood of distinct requests costs MostEntries entries of a few
-// hundred bytes here, and MostShared objects in the store, of which the oldest
-// and least certain give way.
+// Bounds: a flood of distinct requests costs MaxEntries entries of a few
+// hundred bytes here, and MaxSharedRecords objects in the store, of which the
+// oldest and least certain give way.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUARANTINE_QUARANTINE_H
@@ -40,9 +40,9 @@
 
 /// Records in the store: more distinct queries of death than that are a broken
 /// release. A daemon that starts reads some 300 KB of them.
-inline constexpr std::size_t MostShared = 1000;
+inline constexpr std::size_t MaxSharedRecords = 1000;
 /// Requests that a daemon keeps evidence of, shared or not.
-inline constexpr std::size_t MostEntries = 4000;
+inline constexpr std::size_t MaxEntries = 4000;
 /// A suspicion that is not confirmed is forgotten after this, in milliseconds,
 /// and trials that told nothing are made anew. What is proven stays until an
 /// operator removes it: forgotten, the request would crash as many replicas
@@ -72,7 +72,7 @@
 class Quarantine {
 public:
   Standing standing(const RequestFingerprint &R) const;
-  /// Replica processes that ended under it, EnoughCrashes at most.
+  /// Replica processes that ended under it, CrashThreshold at most.
   unsigned crashesOf(const RequestFingerprint &R) const;
 
   /// \p Seen has the request, the one process that ended, the time and what
--- a/packages/quarantine/QuarantineRecord.cpp
+++ b/packages/quarantine/QuarantineRecord.cpp
@@ -43,7 +43,7 @@
   for (const Json &Item : List) {
     if (!Item.is_string())
       return fail(ResultCode::WrongType, CrashedField);
-    if (Names.size() < EnoughCrashes)
+    if (Names.size() < CrashThreshold)
       Names.push_back(Item.get<std::string>().substr(0, LongestText));
   }
   std::ranges::sort(Names);
@@ -72,9 +72,9 @@
     return Standing::Quarantined;
   if (Crashed.empty())
     return Standing::Clear;
-  if (Crashed.size() < EnoughCrashes)
+  if (Crashed.size() < CrashThreshold)
     return Standing::Suspect;
-  return Trials < MostTrials ? Standing::OnTrial : Standing::Quarantined;
+  return Trials < MaxTrials ? Standing::OnTrial : Standing::Quarantined;
 }
 
 std::string processName(const UpstreamId &Id, std::uint64_t StartedUnixMs) {
@@ -87,8 +87,8 @@
   M.Crashed.clear();
   std::ranges::set_union(A.Crashed, B.Crashed, std::back_inserter(M.Crashed));
   // The same ones everywhere, so that equal evidence makes equal records.
-  if (M.Crashed.size() > EnoughCrashes)
-    M.Crashed.resize(EnoughCrashes);
+  if (M.Crashed.size() > CrashThreshold)
+    M.Crashed.resize(CrashThreshold);
   M.Trials = std::max(A.Trials, B.Trials);
   M.Proven = A.Proven || B.Proven;
   M.SeenAt = std::max(A.SeenAt, B.SeenAt);
@@ -114,7 +114,7 @@
   BOOST_LEAF_ASSIGN(R.Crashed, crashedField(Content));
   BOOST_LEAF_AUTO(Trials,
                   field(Content, TrialsField, &Json::is_number_unsigned));
-  R.Trials = std::min(Trials.get<std::uint64_t>(), std::uint64_t{MostTrials});
+  R.Trials = std::min(Trials.get<std::uint64_t>(), std::uint64_t{MaxTrials});
   BOOST_LEAF_AUTO(Proven, field(Content, ProvenField, &Json::is_boolean));
   R.Proven = Proven.get<bool>();
   BOOST_LEAF_AUTO(Seen, field(Content, SeenField, &Json::is_number_integer));
--- a/packages/quarantine/QuarantineRecord.h
+++ b/packages/quarantine/QuarantineRecord.h
@@ -7,8 +7,8 @@
 // of different daemons are merged by the union of these.
 //
 // Evidence alone does not tell the guilty request from those that were in
-// flight beside it on the same replicas. From EnoughCrashes on only a trial
-// does: one send to one replica, of which the whole fleet makes MostTrials at
+// flight beside it on the same replicas. From CrashThreshold on only a trial
+// does: one send to one replica, of which the whole fleet makes MaxTrials at
 // most. A run that ends well clears the request; one that crashes its replica
 // proves it guilty.
 //
@@ -25,10 +25,10 @@
 namespace shallot {
 
 /// Replica processes that ended under a request before it is kept from them.
-inline constexpr unsigned EnoughCrashes = 3;
+inline constexpr unsigned CrashThreshold = 3;
 /// Trials in the whole fleet. The second is for a first one that told nothing:
 /// its replica was full, or its daemon ended.
-inline constexpr unsigned MostTrials = 2;
+inline constexpr unsigned MaxTrials = 2;
 
 /// What may be done with a request.
 enum class Standing : std::uint8_t {
@@ -50,7 +50,7 @@
 
 struct QuarantineRecord {
   RequestFingerprint Request;
-  /// Names of processes (processName), sorted, EnoughCrashes at most.
+  /// Names of processes (processName), sorted, CrashThreshold at most.
   std::vector<std::string> Crashed;
   unsigned Trials = 0; ///< Granted so far.
   bool Proven = false; ///< A trial crashed its replica.
--- a/packages/query/QueryCaution.cpp
+++ b/packages/query/QueryCaution.cpp
@@ -27,7 +27,7 @@
   unsigned Crashed = Sender->cost().Crashed;
   if (Spec.Care == Caution::OneSend)
     return Sender->cost().reachedUpstreams();
-  return Crashed > 0 && Spec.CrashedBefore + Crashed >= EnoughCrashes;
+  return Crashed > 0 && Spec.CrashedBefore + Crashed >= CrashThreshold;
 }
 
 bool QueryMachine::mustWait() const {
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -14,7 +14,7 @@
 // - a reply for an attempt that is not open here is ignored;
 // - a request that cannot be answered is answered at once, not at its deadline;
 // - from the first upstream that crashes under a search on, and until a run of
-//   it ends well, the search is at one upstream at a time; after EnoughCrashes
+//   it ends well, the search is at one upstream at a time; after CrashThreshold
 //   it is given up (package quarantine).
 //
 //===----------------------------------------------------------------------===//
--- a/tests/correctness/QuarantineRecordsAreMerged.cpp
+++ b/tests/correctness/QuarantineRecordsAreMerged.cpp
@@ -42,7 +42,7 @@
   CHECK(record({"a", "b"}).standing() == Standing::Suspect);
   QuarantineRecord R = record({"a", "b", "c"});
   CHECK(R.standing() == Standing::OnTrial);
-  R.Trials = MostTrials;
+  R.Trials = MaxTrials;
   CHECK(R.standing() == Standing::Quarantined);
   R.Trials = 1;
   R.Proven = true;
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -174,10 +174,10 @@
 
   /// From the first crash on one at a time, until it is known.
   void judgeCrashes(const QuerySpec &Spec) {
-    std::size_t Most = SentAtFirstCrash + EnoughCrashes - 1;
+    std::size_t Most = SentAtFirstCrash + CrashThreshold - 1;
     if (Spec.Care == Caution::OneAtATime)
       Most =
-          std::max(EnoughCrashes, Spec.CrashedBefore + 1) - Spec.CrashedBefore;
+          std::max(CrashThreshold, Spec.CrashedBefore + 1) - Spec.CrashedBefore;
     if (Spec.Care == Caution::OneSend)
       Most = 1;
     CHECK(Ended.size() <= Most);
--- a/tests/error/QuarantineRecordsAreChecked.cpp
+++ b/tests/error/QuarantineRecordsAreChecked.cpp
@@ -55,7 +55,7 @@
   Large["path"] = std::string(100'000, 'p');
   auto R = read(RecordName, Large);
   REQUIRE(R);
-  CHECK(R->Crashed.size() <= EnoughCrashes);
-  CHECK(R->Trials == MostTrials);
+  CHECK(R->Crashed.size() <= CrashThreshold);
+  CHECK(R->Trials == MaxTrials);
   CHECK(R->Path.size() < 1000);
 }
--- a/tests/failure/CrashesAreCountedOnce.cpp
+++ b/tests/failure/CrashesAreCountedOnce.cpp
@@ -159,7 +159,7 @@
 TEST_CASE("a request whose trials told nothing is tried again after a while") {
   Quarantine Q;
   SharedRecord Untold = shared({"i-1", "i-2", "i-3"}, 5);
-  Untold.Record.Trials = MostTrials;
+  Untold.Record.Trials = MaxTrials;
   SharedRecord Guilty = shared({"i-1", "i-2", "i-3"}, 6, 2);
   Guilty.Record.Proven = true;
   Q.put(Untold);
@@ -200,11 +200,11 @@
 
 TEST_CASE("a flood of distinct requests is bounded, here and in the store") {
   Quarantine Q;
-  for (int N = 0; N < int(MostEntries) + 500; ++N)
+  for (int N = 0; N < int(MaxEntries) + 500; ++N)
     Q.crashed(seen("i-1", N));
-  CHECK(Q.size() == MostEntries);
+  CHECK(Q.size() == MaxEntries);
   Quarantine Full;
-  for (int N = 0; N < int(MostShared); ++N)
+  for (int N = 0; N < int(MaxSharedRecords); ++N)
     Full.put(shared({"i-1"}, N + 1, N, 1000 + N));
   Full.crashed(seen("i-2", 999'999, 50'000));
   Full.share(request(999'999));
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture, "a trial is one send") {
-  ForwardRun R = careful(route(shards()), Caution::OneSend, EnoughCrashes);
+  ForwardRun R = careful(route(shards()), Caution::OneSend, CrashThreshold);
   REQUIRE(R.begin(Shared, Now).Start.size() == 1);
   SUBCASE("a crash is final, and invites nobody to come back") {
     RunOutput Out = reply(R, 0, crashed());
--- a/tests/failure/QuarantineWritesAreBounded.cpp
+++ b/tests/failure/QuarantineWritesAreBounded.cpp
@@ -158,7 +158,7 @@
     REQUIRE(trial(A) == true);
     REQUIRE(trial(A) == true);
     CHECK(trial(A) == false);
-    CHECK(stored().Trials == MostTrials);
+    CHECK(stored().Trials == MaxTrials);
   }
 }
 
@@ -170,9 +170,9 @@
       Store.runFor(Seconds(1));
     A.Sync.tick(0, false);
   }
-  CHECK(Store.Calls <= WriteBurst + MostWritesPerSecond * 10 + 1);
+  CHECK(Store.Calls <= WriteBurst + MaxWritesPerSecond * 10 + 1);
   // Of a fleet at the size that is aimed at, all together.
-  CHECK(1669 * LeastWritesPerSecond <= FleetWritesPerSecond);
+  CHECK(1669 * MinWritesPerSecond <= FleetWritesPerSecond);
 }
 
 TEST_CASE_FIXTURE(SyncFixture, "a record that cannot be read is replaced") {
--- a/tests/failure/TrialsAreBoundedInTheFleet.cpp
+++ b/tests/failure/TrialsAreBoundedInTheFleet.cpp
@@ -130,7 +130,7 @@
     Fleet F(2 + below(Rng, 6));
     for (int Step = 0; Step < 300; ++Step)
       F.step(Rng);
-    CHECK(F.Trials <= MostTrials);
+    CHECK(F.Trials <= MaxTrials);
   }
 }
 
@@ -141,7 +141,8 @@
     Fleet F(4);
     // Until the store has three crashes; then everybody hears of them.
     while (F.Shop.Records.empty() ||
-           F.Shop.Records.begin()->second.Record.Crashed.size() < EnoughCrashes)
+           F.Shop.Records.begin()->second.Record.Crashed.size() <
+               CrashThreshold)
       F.step(Rng);
     for (Quarantine &Q : F.Tables)
       Q.replaceAll(F.Shop.all(), F.Shop.Revision);
@@ -158,7 +159,7 @@
         Q.replaceAll(F.Shop.all(), F.Shop.Revision);
     }
     CHECK(F.Usual == UsualBefore);
-    CHECK(F.Trials <= MostTrials);
+    CHECK(F.Trials <= MaxTrials);
   }
 }
 
--- a/tests/fuzz/DocumentTargets.cpp
+++ b/tests/fuzz/DocumentTargets.cpp
@@ -173,8 +173,8 @@
     auto R = attempt([&] { return readRecord(Object.Name, Object.Content); });
     if (!R)
       continue;
-    require(R->Crashed.size() <= EnoughCrashes, "processes are bounded");
-    require(R->Trials <= MostTrials, "trials are bounded");
+    require(R->Crashed.size() <= CrashThreshold, "processes are bounded");
+    require(R->Trials <= MaxTrials, "trials are bounded");
     Table.put({*R, Object.Revision});
     require(Table.standing(R->Request) == R->standing(),
             "it counts as it says");
--- a/tests/performance/BenchQuarantine.cpp
+++ b/tests/performance/BenchQuarantine.cpp
@@ -30,7 +30,7 @@
 
 QuarantineRecord record(int N) {
   QuarantineRecord R{request(N)};
-  for (unsigned P = 0; P < EnoughCrashes; ++P)
+  for (unsigned P = 0; P < CrashThreshold; ++P)
     R.Crashed.push_back(
         fmt::format("i-{:010x}@1780172519{:03}", N * 7919 + int(P), P));
   R.SeenAt = 1'780'172'520'131 + N;
@@ -89,9 +89,9 @@
 bool memoryOfOneDaemon() {
   std::size_t Before = heapInUse();
   auto Table = std::make_unique<Quarantine>();
-  for (int N = 0; N < int(MostEntries) * 2; ++N) {
+  for (int N = 0; N < int(MaxEntries) * 2; ++N) {
     Table->crashed(record(N));
-    if (N < int(MostShared))
+    if (N < int(MaxSharedRecords))
       Table->put({record(N), std::uint64_t(N) + 1});
   }
   double Bytes = double(heapInUse() - Before);
@@ -108,13 +108,13 @@
 
 bool bytesOfARecord() {
   RecordPage Page{1, {}};
-  for (int N = 0; N < int(MostShared); ++N) {
+  for (int N = 0; N < int(MaxSharedRecords); ++N) {
     QuarantineRecord R = record(N);
     Page.Objects[R.Request.str()] = {R.Request.str(), 1, recordContent(R)};
   }
   double Bytes = double(recordPageText(Page).size());
   fmt::print("bytes of a record in the store: {:.0f}\n",
-             Bytes / double(MostShared));
+             Bytes / double(MaxSharedRecords));
   // What the platform's store takes in one object.
   return judge("one object with all records", Bytes, 1'000'000, "B");
 }
