--- a/packages/crashguard/QuarantineGate.cpp
+++ b/packages/crashguard/QuarantineGate.cpp
@@ -23,7 +23,8 @@
 Caution QuarantineGate::cautionFor(const NamedRequest &R, bool Trial) const {
   if (Trial)
     return Caution::OneSend;
-  return standing(R) == Standing::Clear ? Caution::None : Caution::OneAtATime;
+  return quarantineState(R) == QuarantineState::Clear ? Caution::None
+                                                      : Caution::OneAtATime;
 }
 
 void QuarantineGate::requestTrial(const NamedRequest &R, TrialCallback Done) {
@@ -62,7 +63,7 @@
             {"service", Process.Service.str()},
             {"id", R.Id},
             {"fingerprint", R.Print.str()},
-            {"standing", std::string(standingName(standing(R)))},
+            {"standing", std::string(quarantineStateName(quarantineState(R)))},
             {"crashes", std::to_string(crashesOf(R))}});
 }
 
@@ -104,10 +105,10 @@
 }
 
 void QuarantineGate::writeGauges(Metrics &Into) const {
-  for (Standing S :
-       {Standing::Suspect, Standing::OnTrial, Standing::Quarantined})
+  for (QuarantineState S : {QuarantineState::Suspect, QuarantineState::OnTrial,
+                            QuarantineState::Quarantined})
     Into.gauge("shallot_quarantine_requests",
-               {{"standing", std::string(standingName(S))}},
+               {{"standing", std::string(quarantineStateName(S))}},
                double(Table.count(S)));
 }
 
@@ -117,7 +118,7 @@
            {{"id", R.Id},
             {"fingerprint", R.Print.str()},
             {"route", R.Route},
-            {"standing", std::string(standingName(standing(R)))},
+            {"standing", std::string(quarantineStateName(quarantineState(R)))},
             {"crashes", std::to_string(crashesOf(R))}});
 }
 
--- a/packages/crashguard/QuarantineGate.h
+++ b/packages/crashguard/QuarantineGate.h
@@ -57,8 +57,8 @@
   /// Who grants trials, and who is told that something is to be written.
   void connect(TrialFn OnTrial, std::function<void()> OnUnwritten);
 
-  Standing standing(const NamedRequest &R) const {
-    return Table.standing(R.Print);
+  QuarantineState quarantineState(const NamedRequest &R) const {
+    return Table.quarantineState(R.Print);
   }
   unsigned crashesOf(const NamedRequest &R) const {
     return Table.crashesOf(R.Print);
--- a/packages/crashguard/QuarantineSync.h
+++ b/packages/crashguard/QuarantineSync.h
@@ -181,7 +181,8 @@
     logEvent(LogLevel::Info, "quarantine_record_written",
              {{"fingerprint", W.Record.Request.str()},
               {"removed", W.Removes ? "yes" : "no"},
-              {"standing", std::string(standingName(W.Record.standing()))},
+              {"standing",
+               std::string(quarantineStateName(W.Record.quarantineState()))},
               {"trials", std::to_string(W.Record.Trials)},
               {"revision", std::to_string(W.Revision)},
               {"applied", Applied ? "yes" : "no"}});
--- a/packages/ctl/QuarantineCommands.cpp
+++ b/packages/ctl/QuarantineCommands.cpp
@@ -25,13 +25,13 @@
 json recordDoc(const QuarantineRecord &R) {
   json Doc = recordContent(R);
   Doc["fingerprint"] = R.Request.str();
-  Doc["standing"] = standingName(R.standing());
+  Doc["standing"] = quarantineStateName(R.quarantineState());
   return Doc;
 }
 
 std::string recordLine(const QuarantineRecord &R) {
   return fmt::format("{}  {:<11}  {} crashed, {} trials  last {}  {} {}\n",
-                     R.Request.str(), standingName(R.standing()),
+                     R.Request.str(), quarantineStateName(R.quarantineState()),
                      R.Crashed.size(), R.Trials, shownTime(R.SeenAt), R.Route,
                      R.Path);
 }
--- a/packages/daemon/SearchService.cpp
+++ b/packages/daemon/SearchService.cpp
@@ -30,8 +30,8 @@
 
 /// What is not sent because of its standing: a trial may be granted soon, and
 /// coming back is of no use to what is kept from upstreams.
-AdmissionDecision refusalFor(Standing S) {
-  if (S == Standing::Quarantined)
+AdmissionDecision refusalFor(QuarantineState S) {
+  if (S == QuarantineState::Quarantined)
     return AdmissionDecision::refuse(ResultCode::RequestQuarantined,
                                      Duration(0));
   return AdmissionDecision::refuse(ResultCode::TrialUnavailable,
@@ -79,14 +79,14 @@
 /// A search under which upstreams crashed is refused at once, or waits for the
 /// grant of a trial; it takes no place among those that wait for their turn.
 void SearchService::vet(SearchId Id) {
-  switch (Crashes.standing(Active.at(Id).Name)) {
-  case Standing::Clear:
-  case Standing::Suspect:
+  switch (Crashes.quarantineState(Active.at(Id).Name)) {
+  case QuarantineState::Clear:
+  case QuarantineState::Suspect:
     return admit(Id);
-  case Standing::OnTrial:
+  case QuarantineState::OnTrial:
     return askTrial(Id);
-  case Standing::Quarantined:
-    return refuse(Id, refusalFor(Standing::Quarantined));
+  case QuarantineState::Quarantined:
+    return refuse(Id, refusalFor(QuarantineState::Quarantined));
   }
 }
 
@@ -115,10 +115,10 @@
   R.Trial = Granted;
   if (Granted)
     admit(Id);
-  else if (Crashes.standing(Name) != Standing::OnTrial)
+  else if (Crashes.quarantineState(Name) != QuarantineState::OnTrial)
     vet(Id); // Others have cleared or proven it meanwhile.
   else
-    refuse(Id, refusalFor(Standing::OnTrial));
+    refuse(Id, refusalFor(QuarantineState::OnTrial));
   turn();
 }
 
@@ -154,8 +154,8 @@
 
 void SearchService::start(SearchId Id) {
   Run &R = Active.at(Id);
-  Standing Now = Crashes.standing(R.Name);
-  if (Now >= Standing::OnTrial && !R.Trial) {
+  QuarantineState Now = Crashes.quarantineState(R.Name);
+  if (Now >= QuarantineState::OnTrial && !R.Trial) {
     // Upstreams crashed under other attempts while it waited for its turn.
     Gate->cancel(Id);
     return refuse(Id, refusalFor(Now));
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -20,15 +20,15 @@
 /// A request under which replicas crashed is refused at once, or waits for the
 /// grant of a trial; it takes no place among those that wait for replicas.
 void RequestHandler::Impl::vet(const JobPtr &J) {
-  switch (Gate.standing(J->Name)) {
-  case Standing::Clear:
-  case Standing::Suspect:
+  switch (Gate.quarantineState(J->Name)) {
+  case QuarantineState::Clear:
+  case QuarantineState::Suspect:
     admit(J);
     return;
-  case Standing::OnTrial:
+  case QuarantineState::OnTrial:
     askTrial(J);
     return;
-  case Standing::Quarantined:
+  case QuarantineState::Quarantined:
     turnAway(J, quarantinedAnswer());
     return;
   }
@@ -50,7 +50,7 @@
     if (Granted)
       return admit(J);
     // Others may have cleared or proven it meanwhile.
-    if (Gate.standing(J->Name) != Standing::OnTrial)
+    if (Gate.quarantineState(J->Name) != QuarantineState::OnTrial)
       return vet(J);
     turnAway(J, noTrialAnswer());
   };
@@ -82,10 +82,10 @@
 
 /// Other attempts may have crashed replicas while this one waited.
 void RequestHandler::Impl::start(const JobPtr &J) {
-  Standing Now = Gate.standing(J->Name);
-  if (Now == Standing::Quarantined && !J->Trial)
+  QuarantineState Now = Gate.quarantineState(J->Name);
+  if (Now == QuarantineState::Quarantined && !J->Trial)
     return turnAway(J, quarantinedAnswer());
-  if (Now == Standing::OnTrial && !J->Trial)
+  if (Now == QuarantineState::OnTrial && !J->Trial)
     return turnAway(J, noTrialAnswer());
   J->Run.beCareful(Gate.cautionFor(J->Name, J->Trial), Gate.crashesOf(J->Name));
   apply(J, J->Run.begin(Shared, Timers.now()));
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -303,7 +303,8 @@
     if (Name)
       logEvent(LogLevel::Info, "quarantine_record",
                {{"fingerprint", Name->str()},
-                {"standing", std::string(standingName(Table.standing(*Name)))},
+                {"standing", std::string(quarantineStateName(
+                                 Table.quarantineState(*Name)))},
                 {"revision", std::to_string(C.Object.Revision)}});
   }
 
--- a/packages/quarantine/Quarantine.cpp
+++ b/packages/quarantine/Quarantine.cpp
@@ -17,7 +17,7 @@
   if (!E.Share)
     return false;
   if (!E.Shared)
-    return E.Own.standing() != Standing::Clear;
+    return E.Own.quarantineState() != QuarantineState::Clear;
   // Neither the time nor other names of as many processes are worth a write.
   QuarantineRecord All = known(E);
   const QuarantineRecord &There = E.Shared->Record;
@@ -45,13 +45,15 @@
     Unwritten.insert(At->first);
   else
     Unwritten.erase(At->first);
-  if (!E.Shared && E.Writes == 0 && E.Own.standing() == Standing::Clear)
+  if (!E.Shared && E.Writes == 0 &&
+      E.Own.quarantineState() == QuarantineState::Clear)
     Entries.erase(At);
 }
 
-Standing Quarantine::standing(const RequestFingerprint &R) const {
+QuarantineState Quarantine::quarantineState(const RequestFingerprint &R) const {
   auto At = Entries.find(R);
-  return At == Entries.end() ? Standing::Clear : known(At->second).standing();
+  return At == Entries.end() ? QuarantineState::Clear
+                             : known(At->second).quarantineState();
 }
 
 unsigned Quarantine::crashesOf(const RequestFingerprint &R) const {
@@ -202,7 +204,7 @@
     return std::nullopt;
   const Entry &E = At->second;
   QuarantineRecord Next = known(E);
-  if (E.Clear || Next.standing() != Standing::OnTrial)
+  if (E.Clear || Next.quarantineState() != QuarantineState::OnTrial)
     return std::nullopt;
   ++Next.Trials;
   return QuarantineWrite{std::move(Next), E.Shared ? E.Shared->Revision : 0};
@@ -217,9 +219,10 @@
   if (!Writes)
     return;
   QuarantineRecord Known = known(E);
-  if (Known.standing() == Standing::Suspect)
+  if (Known.quarantineState() == QuarantineState::Suspect)
     E.Clear = true;
-  else if (Known.standing() == Standing::Quarantined && !Known.Proven)
+  else if (Known.quarantineState() == QuarantineState::Quarantined &&
+           !Known.Proven)
     E.RenewAt = Now;
 }
 
@@ -237,10 +240,10 @@
   }
 }
 
-std::size_t Quarantine::count(Standing S) const {
+std::size_t Quarantine::count(QuarantineState S) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(Entries, [S](const auto &Item) {
-        return known(Item.second).standing() == S;
+        return known(Item.second).quarantineState() == S;
       }));
 }
 
--- a/packages/quarantine/Quarantine.h
+++ b/packages/quarantine/Quarantine.h
@@ -71,7 +71,7 @@
 
 class Quarantine {
 public:
-  Standing standing(const RequestFingerprint &R) const;
+  QuarantineState quarantineState(const RequestFingerprint &R) const;
   /// Replica processes that ended under it, CrashThreshold at most.
   unsigned crashesOf(const RequestFingerprint &R) const;
 
@@ -111,7 +111,7 @@
   std::size_t size() const { return Entries.size(); }
   std::size_t shared() const { return SharedCount; }
   /// Entries of this standing, for metrics.
-  std::size_t count(Standing S) const;
+  std::size_t count(QuarantineState S) const;
 
 private:
   struct Entry {
--- a/packages/quarantine/QuarantineRecord.cpp
+++ b/packages/quarantine/QuarantineRecord.cpp
@@ -53,28 +53,29 @@
 
 } // namespace
 
-std::string_view standingName(Standing S) {
+std::string_view quarantineStateName(QuarantineState S) {
   switch (S) {
-  case Standing::Clear:
+  case QuarantineState::Clear:
     return "clear";
-  case Standing::Suspect:
+  case QuarantineState::Suspect:
     return "suspect";
-  case Standing::OnTrial:
+  case QuarantineState::OnTrial:
     return "on trial";
-  case Standing::Quarantined:
+  case QuarantineState::Quarantined:
     return "quarantined";
   }
   return {};
 }
 
-Standing QuarantineRecord::standing() const {
+QuarantineState QuarantineRecord::quarantineState() const {
   if (Proven)
-    return Standing::Quarantined;
+    return QuarantineState::Quarantined;
   if (Crashed.empty())
-    return Standing::Clear;
+    return QuarantineState::Clear;
   if (Crashed.size() < CrashThreshold)
-    return Standing::Suspect;
-  return Trials < MaxTrials ? Standing::OnTrial : Standing::Quarantined;
+    return QuarantineState::Suspect;
+  return Trials < MaxTrials ? QuarantineState::OnTrial
+                            : QuarantineState::Quarantined;
 }
 
 std::string processName(const UpstreamId &Id, std::uint64_t StartedUnixMs) {
--- a/packages/quarantine/QuarantineRecord.h
+++ b/packages/quarantine/QuarantineRecord.h
@@ -31,7 +31,7 @@
 inline constexpr unsigned MaxTrials = 2;
 
 /// What may be done with a request.
-enum class Standing : std::uint8_t {
+enum class QuarantineState : std::uint8_t {
   Clear,       ///< Nothing speaks against it.
   Suspect,     ///< Sent to one replica at a time until a run ends well.
   OnTrial,     ///< Sent to one replica, by whoever is granted a trial.
@@ -39,7 +39,7 @@
 };
 
 /// For people: "clear", "suspect", "on trial", "quarantined".
-std::string_view standingName(Standing S);
+std::string_view quarantineStateName(QuarantineState S);
 
 /// How a request is sent under which replicas crashed in earlier attempts.
 enum class Caution : std::uint8_t {
@@ -59,7 +59,7 @@
   std::string Route; ///< For operators.
   std::string Path;  ///< For operators; the beginning of it.
 
-  Standing standing() const;
+  QuarantineState quarantineState() const;
   friend bool operator==(const QuarantineRecord &,
                          const QuarantineRecord &) = default;
 };
--- a/tests/correctness/QuarantineRecordsAreMerged.cpp
+++ b/tests/correctness/QuarantineRecordsAreMerged.cpp
@@ -38,15 +38,15 @@
 }
 
 TEST_CASE("evidence adds up to a standing") {
-  CHECK(record({}).standing() == Standing::Clear);
-  CHECK(record({"a", "b"}).standing() == Standing::Suspect);
+  CHECK(record({}).quarantineState() == QuarantineState::Clear);
+  CHECK(record({"a", "b"}).quarantineState() == QuarantineState::Suspect);
   QuarantineRecord R = record({"a", "b", "c"});
-  CHECK(R.standing() == Standing::OnTrial);
+  CHECK(R.quarantineState() == QuarantineState::OnTrial);
   R.Trials = MaxTrials;
-  CHECK(R.standing() == Standing::Quarantined);
+  CHECK(R.quarantineState() == QuarantineState::Quarantined);
   R.Trials = 1;
   R.Proven = true;
-  CHECK(R.standing() == Standing::Quarantined);
+  CHECK(R.quarantineState() == QuarantineState::Quarantined);
 }
 
 TEST_CASE("two daemons know together what each knows") {
--- a/tests/failure/CrashesAreCountedOnce.cpp
+++ b/tests/failure/CrashesAreCountedOnce.cpp
@@ -41,15 +41,15 @@
     Q.crashed(seen("i-1@7"));
   Q.put(shared({"i-1@7"}, 3));
   CHECK(Q.crashesOf(request()) == 1);
-  CHECK(Q.standing(request()) == Standing::Suspect);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Suspect);
 }
 
 TEST_CASE("evidence of several daemons adds up") {
   Quarantine Q;
   Q.crashed(seen("i-1"));
   Q.put(shared({"i-2", "i-3"}, 3));
-  CHECK(Q.standing(request()) == Standing::OnTrial);
-  CHECK(Q.standing(request(2)) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::OnTrial);
+  CHECK(Q.quarantineState(request(2)) == QuarantineState::Clear);
 }
 
 TEST_CASE("a run that ends well voids what was held against a request") {
@@ -57,7 +57,7 @@
   Q.crashed(seen("i-1"));
   Q.crashed(seen("i-2"));
   CHECK(Q.succeeded(request()));
-  CHECK(Q.standing(request()) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   CHECK(Q.size() == 0);
   CHECK_FALSE(Q.nextWrite());
   CHECK_FALSE(Q.succeeded(request()));
@@ -80,14 +80,14 @@
   Quarantine Q;
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   CHECK(Q.succeeded(request()));
-  CHECK(Q.standing(request()) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   auto W = Q.nextWrite();
   REQUIRE(W);
   CHECK(W->Removes);
   CHECK(W->Revision == 5);
   // Meanwhile another daemon added to it: that is removed as well.
   Q.put(shared({"i-1", "i-2", "i-4"}, 6));
-  CHECK(Q.standing(request()) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   CHECK(Q.nextWrite()->Revision == 6);
   Q.remove(request(), 6);
   CHECK_FALSE(Q.nextWrite());
@@ -103,10 +103,10 @@
   REQUIRE(W);
   Q.writeBegins(request());
   Q.succeeded(request());
-  CHECK(Q.standing(request()) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   Q.put({W->Record, 5}); // The store has it now.
   Q.writeEnded(request());
-  CHECK(Q.standing(request()) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   REQUIRE(Q.nextWrite());
   CHECK(Q.nextWrite()->Removes);
   CHECK(Q.nextWrite()->Revision == 5);
@@ -119,15 +119,15 @@
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   Q.put(shared({"i-1"}, 6, 2));
   Q.replaceAll({shared({"i-1"}, 6, 2)}, 7);
-  CHECK(Q.standing(request()) == Standing::Clear);
-  CHECK(Q.standing(request(2)) == Standing::Suspect);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
+  CHECK(Q.quarantineState(request(2)) == QuarantineState::Suspect);
 }
 
 TEST_CASE("an older state of a record is ignored") {
   Quarantine Q;
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   Q.put(shared({"i-1"}, 4));
-  CHECK(Q.standing(request()) == Standing::OnTrial);
+  CHECK(Q.quarantineState(request()) == QuarantineState::OnTrial);
 }
 
 TEST_CASE("news of the store that is older than a record takes nothing back") {
@@ -135,9 +135,9 @@
   Q.put(shared({"i-1", "i-2", "i-3"}, 9)); // Written by this daemon itself.
   Q.remove(request(), 8);                  // It had been removed before that.
   Q.replaceAll({}, 8);
-  CHECK(Q.standing(request()) == Standing::OnTrial);
+  CHECK(Q.quarantineState(request()) == QuarantineState::OnTrial);
   Q.replaceAll({}, 9);
-  CHECK(Q.standing(request()) == Standing::Clear);
+  CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
 }
 
 TEST_CASE("a suspicion is forgotten, and what is more than one is not") {
@@ -153,7 +153,7 @@
   Q.expire(1001 + EvidenceLifetimeMs, true);
   REQUIRE(Q.nextWrite());
   CHECK(Q.nextWrite()->Record.Request == request(1));
-  CHECK(Q.standing(request(2)) == Standing::OnTrial);
+  CHECK(Q.quarantineState(request(2)) == QuarantineState::OnTrial);
 }
 
 TEST_CASE("a request whose trials told nothing is tried again after a while") {
@@ -175,8 +175,8 @@
   CHECK(W->Revision == 5);
   CHECK(W->Record.Trials == 0);
   Q.put({W->Record, 7});
-  CHECK(Q.standing(request()) == Standing::OnTrial);
-  CHECK(Q.standing(request(2)) == Standing::Quarantined);
+  CHECK(Q.quarantineState(request()) == QuarantineState::OnTrial);
+  CHECK(Q.quarantineState(request(2)) == QuarantineState::Quarantined);
   Q.expire(Later, true);
   CHECK_FALSE(Q.nextWrite());
 }
--- a/tests/failure/TrialsAreBoundedInTheFleet.cpp
+++ b/tests/failure/TrialsAreBoundedInTheFleet.cpp
@@ -78,10 +78,10 @@
 
   /// The request comes to a daemon.
   void attempt(Quarantine &Q, Random &Rng) {
-    switch (Q.standing(deadly())) {
-    case Standing::Quarantined:
+    switch (Q.quarantineState(deadly())) {
+    case QuarantineState::Quarantined:
       return;
-    case Standing::OnTrial:
+    case QuarantineState::OnTrial:
       return onTrial(Q, Rng);
     default:
       ++Usual;
@@ -178,6 +178,6 @@
   REQUIRE(F.Shop.write(*Q.nextWrite()));
   for (Quarantine &Each : F.Tables) {
     Each.replaceAll(F.Shop.all(), F.Shop.Revision);
-    CHECK(Each.standing(deadly()) == Standing::Clear);
+    CHECK(Each.quarantineState(deadly()) == QuarantineState::Clear);
   }
 }
--- a/tests/fuzz/DocumentTargets.cpp
+++ b/tests/fuzz/DocumentTargets.cpp
@@ -176,7 +176,7 @@
     require(R->Crashed.size() <= CrashThreshold, "processes are bounded");
     require(R->Trials <= MaxTrials, "trials are bounded");
     Table.put({*R, Object.Revision});
-    require(Table.standing(R->Request) == R->standing(),
+    require(Table.quarantineState(R->Request) == R->quarantineState(),
             "it counts as it says");
   }
   require(Table.size() <= Page->Objects.size(), "one entry a record");
