--- a/packages/crashguard/QuarantineGate.cpp
+++ b/packages/crashguard/QuarantineGate.cpp
@@ -20,11 +20,13 @@
   OnUnwritten = std::move(Unwritten);
 }
 
-Caution QuarantineGate::cautionFor(const NamedRequest &R, bool Trial) const {
+SendRestriction QuarantineGate::restrictionFor(const NamedRequest &R,
+                                               bool Trial) const {
   if (Trial)
-    return Caution::OneSend;
-  return quarantineState(R) == QuarantineState::Clear ? Caution::None
-                                                      : Caution::OneAtATime;
+    return SendRestriction::OneSend;
+  return quarantineState(R) == QuarantineState::Clear
+             ? SendRestriction::None
+             : SendRestriction::OneAtATime;
 }
 
 void QuarantineGate::requestTrial(const NamedRequest &R, TrialCallback Done) {
--- a/packages/crashguard/QuarantineGate.h
+++ b/packages/crashguard/QuarantineGate.h
@@ -64,7 +64,7 @@
     return Table.crashesOf(R.Print);
   }
   /// How the next attempt at \p R is sent. \p Trial: one was granted to it.
-  Caution cautionFor(const NamedRequest &R, bool Trial) const;
+  SendRestriction restrictionFor(const NamedRequest &R, bool Trial) const;
 
   /// \p Done is called once, never before this returns.
   void requestTrial(const NamedRequest &R, TrialCallback Done);
--- a/packages/forward/ForwardAnswer.cpp
+++ b/packages/forward/ForwardAnswer.cpp
@@ -146,7 +146,7 @@
       Story.NotSent, Story.Crashed);
   if (NothingRan)
     finish(Out, OwnAnswer{ResultCode::UpstreamShed, NoReplicaRetry, Why}, Now);
-  else if (Request.Care == Caution::OneSend && Story.Crashed > 0)
+  else if (Request.Care == SendRestriction::OneSend && Story.Crashed > 0)
     finish(Out, OwnAnswer{ResultCode::RequestCrashes, {}, Why}, Now);
   else if (Request.Matched->Kind == Repetition::AtMostOnce)
     finish(Out, OwnAnswer{ResultCode::OutcomeUnknown, {}, Why}, Now);
--- a/packages/forward/ForwardCaution.cpp
+++ b/packages/forward/ForwardCaution.cpp
@@ -19,7 +19,7 @@
 /// replica for each part that it lost, and hedged, it empties all shards in one
 /// attempt; so it is at one replica at a time until a run of it ends well.
 bool ForwardRun::careful() const {
-  bool Suspected = Request.Care != Caution::None || Story.Crashed > 0;
+  bool Suspected = Request.Care != SendRestriction::None || Story.Crashed > 0;
   return Suspected && !succeeded();
 }
 
@@ -29,7 +29,7 @@
 bool ForwardRun::crashesEnough() const {
   if (!careful() || OpenSends > 0)
     return false;
-  if (Request.Care == Caution::OneSend)
+  if (Request.Care == SendRestriction::OneSend)
     return !Sends.empty();
   return Story.Crashed > 0 &&
          Request.CrashedBefore + Story.Crashed >= CrashThreshold;
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -103,7 +103,7 @@
   const Route *Matched = nullptr; ///< Of Config.
   Instant Arrived;
   Duration CallerWaits{}; ///< The caller's own deadline, from Arrived.
-  Caution Care = Caution::None;
+  SendRestriction Care = SendRestriction::None;
   unsigned CrashedBefore = 0; ///< Replicas, in earlier attempts.
 };
 
@@ -166,7 +166,7 @@
 
   /// Replicas crashed under earlier attempts, \p Before of them. To be called
   /// before begin().
-  void beCareful(Caution Care, unsigned Before) {
+  void beCareful(SendRestriction Care, unsigned Before) {
     Request.Care = Care;
     Request.CrashedBefore = Before;
   }
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -87,7 +87,8 @@
     return turnAway(J, quarantinedAnswer());
   if (Now == QuarantineState::OnTrial && !J->Trial)
     return turnAway(J, noTrialAnswer());
-  J->Run.beCareful(Gate.cautionFor(J->Name, J->Trial), Gate.crashesOf(J->Name));
+  J->Run.beCareful(Gate.restrictionFor(J->Name, J->Trial),
+                   Gate.crashesOf(J->Name));
   apply(J, J->Run.begin(Shared, Timers.now()));
 }
 
--- a/packages/quarantine/QuarantineRecord.h
+++ b/packages/quarantine/QuarantineRecord.h
@@ -42,7 +42,7 @@
 std::string_view quarantineStateName(QuarantineState S);
 
 /// How a request is sent under which replicas crashed in earlier attempts.
-enum class Caution : std::uint8_t {
+enum class SendRestriction : std::uint8_t {
   None,
   OneAtATime, ///< To one replica, until a run ends well.
   OneSend,    ///< A trial: to one replica, and to no other unless it ends well.
--- a/packages/query/QueryCaution.cpp
+++ b/packages/query/QueryCaution.cpp
@@ -15,7 +15,8 @@
 /// that it lost, and hedged, it ends all upstreams in one attempt; so it is at
 /// one upstream at a time until a run of it ends well.
 bool QueryMachine::careful() const {
-  bool Suspected = Spec.Care != Caution::None || Sender->cost().Crashed > 0;
+  bool Suspected =
+      Spec.Care != SendRestriction::None || Sender->cost().Crashed > 0;
   return Suspected && !AnyRunEndedWell;
 }
 
@@ -25,7 +26,7 @@
   if (Finished || !careful() || anyOpen())
     return false;
   unsigned Crashed = Sender->cost().Crashed;
-  if (Spec.Care == Caution::OneSend)
+  if (Spec.Care == SendRestriction::OneSend)
     return Sender->cost().reachedUpstreams();
   return Crashed > 0 && Spec.CrashedBefore + Crashed >= CrashThreshold;
 }
@@ -87,8 +88,8 @@
              Now);
   if (Sender->cost().Crashed == 0)
     return finish(codeAtEnd(false), Now);
-  finish(Spec.Care == Caution::OneSend ? ResultCode::RequestCrashes
-                                       : ResultCode::ReplicasCrashed,
+  finish(Spec.Care == SendRestriction::OneSend ? ResultCode::RequestCrashes
+                                               : ResultCode::ReplicasCrashed,
          Now);
 }
 
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -71,7 +71,7 @@
   std::string Body;
   std::string TraceParent;
   StrategyParts Parts;
-  Caution Care = Caution::None;
+  SendRestriction Care = SendRestriction::None;
   unsigned CrashedBefore = 0; ///< Upstreams, in earlier attempts at it.
 };
 
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -61,7 +61,8 @@
       Spec.Parts = StrategyParts::of(Strategy::Baseline);
     Deadly = below(D.Rng, 6) == 0;
     if (below(D.Rng, 6) == 0) {
-      Spec.Care = below(D.Rng, 2) == 0 ? Caution::OneAtATime : Caution::OneSend;
+      Spec.Care = below(D.Rng, 2) == 0 ? SendRestriction::OneAtATime
+                                       : SendRestriction::OneSend;
       Spec.CrashedBefore = 1 + below(D.Rng, 3);
     }
     auto &Budgets =
@@ -175,10 +176,10 @@
   /// From the first crash on one at a time, until it is known.
   void judgeCrashes(const QuerySpec &Spec) {
     std::size_t Most = SentAtFirstCrash + CrashThreshold - 1;
-    if (Spec.Care == Caution::OneAtATime)
+    if (Spec.Care == SendRestriction::OneAtATime)
       Most =
           std::max(CrashThreshold, Spec.CrashedBefore + 1) - Spec.CrashedBefore;
-    if (Spec.Care == Caution::OneSend)
+    if (Spec.Care == SendRestriction::OneSend)
       Most = 1;
     CHECK(Ended.size() <= Most);
     CHECK(O.Answers.front().Records.empty());
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -33,7 +33,7 @@
     S.ReplicaCrashed = true;
     return S;
   }
-  ForwardRun careful(const Route &R, Caution Care, unsigned Before) {
+  ForwardRun careful(const Route &R, SendRestriction Care, unsigned Before) {
     ForwardRun Run = run(R);
     Run.beCareful(Care, Before);
     return Run;
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture, "a suspect is at one replica at a time") {
-  ForwardRun R = careful(route(shards()), Caution::OneAtATime, 1);
+  ForwardRun R = careful(route(shards()), SendRestriction::OneAtATime, 1);
   CHECK(R.begin(Shared, Now).Start.size() == 1);
   // It is not hedged, however long it takes.
   CHECK(tickUntil(R, Now + Millis(60)).Start.empty());
@@ -113,7 +113,8 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture, "a trial is one send") {
-  ForwardRun R = careful(route(shards()), Caution::OneSend, CrashThreshold);
+  ForwardRun R =
+      careful(route(shards()), SendRestriction::OneSend, CrashThreshold);
   REQUIRE(R.begin(Shared, Now).Start.size() == 1);
   SUBCASE("a crash is final, and invites nobody to come back") {
     RunOutput Out = reply(R, 0, crashed());
@@ -157,7 +158,7 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture, "a held part waits for room like any other") {
-  ForwardRun R = careful(route(shards()), Caution::OneAtATime, 1);
+  ForwardRun R = careful(route(shards()), SendRestriction::OneAtATime, 1);
   // Every replica has as many sends as it may.
   constexpr int OthersCount = 8;
   std::vector<ForwardRun> Others;
--- a/tests/failure/CrashingSearchesAreSentOnce.cpp
+++ b/tests/failure/CrashingSearchesAreSentOnce.cpp
@@ -17,7 +17,8 @@
 }
 
 struct Search {
-  explicit Search(Caution Care = Caution::None, unsigned Before = 0,
+  explicit Search(SendRestriction Care = SendRestriction::None,
+                  unsigned Before = 0,
                   ClassPolicy Policy = {.HedgeBudgetPercent = 100,
                                         .RetryBudgetPercent = 100}) {
     D.teach(*C, {{41, 7}}, at(-10));
@@ -85,7 +86,7 @@
 }
 
 TEST_CASE("a suspect of earlier attempts is at one upstream at a time") {
-  Search S(Caution::OneAtATime, 1);
+  Search S(SendRestriction::OneAtATime, 1);
   CHECK(S.O.All.size() == 1);
   S.reply(crash(), 5);
   CHECK(S.O.All.size() == 2);
@@ -95,7 +96,7 @@
 }
 
 TEST_CASE("a suspect that is answered once is asked of all others at once") {
-  Search S(Caution::OneAtATime, 2);
+  Search S(SendRestriction::OneAtATime, 2);
   S.reply(okReply({41, 7}), 5);
   CHECK(S.O.All.size() == 3);
   S.reply(okReply({41, 7}), 6);
@@ -104,7 +105,7 @@
 }
 
 TEST_CASE("a trial is one send") {
-  Search S(Caution::OneSend, 3);
+  Search S(SendRestriction::OneSend, 3);
   SUBCASE("that crashes its upstream") {
     S.reply(crash(), 5);
     CHECK(S.answer().Code == ResultCode::RequestCrashes);
@@ -131,7 +132,7 @@
 }
 
 TEST_CASE("full coverage is refused with the cause when upstreams crash") {
-  Search S(Caution::None, 0,
+  Search S(SendRestriction::None, 0,
            {.Coverage = CoverageRule::Full,
             .HedgeBudgetPercent = 100,
             .RetryBudgetPercent = 100});
