--- a/packages/crashguard/RecordDocument.cpp
+++ b/packages/crashguard/RecordDocument.cpp
@@ -34,13 +34,13 @@
 
 } // namespace
 
-Result<RecordPage> readRecordPage(std::string_view Text) {
+Result<RecordSet> parseRecordSet(std::string_view Text) {
   Json Doc = Json::parse(Text, nullptr, false);
   if (Doc.is_discarded())
     return fail(ResultCode::MalformedJson, "a document of records is JSON");
   if (!Doc.is_object())
     return fail(ResultCode::WrongType, "a document of records is an object");
-  RecordPage P;
+  RecordSet P;
   BOOST_LEAF_ASSIGN(P.Revision, revisionIn(Doc));
   auto Records = Doc.find(RecordsField);
   if (Records == Doc.end())
@@ -54,7 +54,7 @@
   return P;
 }
 
-std::string recordPageText(const RecordPage &P) {
+std::string formatRecordSet(const RecordSet &P) {
   Json Records = Json::object();
   for (const auto &[Name, O] : P.Objects)
     Records[Name] = {{RevisionField, O.Revision}, {ContentField, O.Content}};
--- a/packages/crashguard/RecordDocument.h
+++ b/packages/crashguard/RecordDocument.h
@@ -35,37 +35,37 @@
 inline constexpr std::string_view RecordsPath = "quarantine/records";
 
 /// The document, read.
-struct RecordPage {
+struct RecordSet {
   std::uint64_t Revision = 0; ///< Counts the changes of the document.
   std::map<std::string, KindObject> Objects;
 
-  friend bool operator==(const RecordPage &, const RecordPage &) = default;
+  friend bool operator==(const RecordSet &, const RecordSet &) = default;
 };
 
 /// Reads the text of a document. Fails with MalformedJson, MissingField or
 /// WrongType.
-Result<RecordPage> readRecordPage(std::string_view Text);
-std::string recordPageText(const RecordPage &P);
+Result<RecordSet> parseRecordSet(std::string_view Text);
+std::string formatRecordSet(const RecordSet &P);
 
 template <ObjectStore Store> class RecordDocument {
 public:
-  using NewsFn = std::function<void(const RecordPage &)>;
+  using ChangeFn = std::function<void(const RecordSet &)>;
 
   RecordDocument(Store &S, std::string Path) : S(S), Path(std::move(Path)) {}
   RecordDocument(const RecordDocument &) = delete;
   RecordDocument &operator=(const RecordDocument &) = delete;
 
   const std::string &path() const { return Path; }
-  void onNews(NewsFn Fn) { OnNews = std::move(Fn); }
+  void onChange(ChangeFn Fn) { OnNews = std::move(Fn); }
   /// The store's version of the document as last seen; 0: none was seen.
   std::uint64_t version() const { return Known.Version; }
   const StoredObject &stored() const { return Known; }
 
   /// The document as a watch or a peer gave it; an older one is ignored.
-  void take(const StoredObject &Now) {
+  void update(const StoredObject &Now) {
     if (Now.Version <= Known.Version)
       return;
-    auto Read = attempt([&] { return readRecordPage(Now.Value); });
+    auto Read = attempt([&] { return parseRecordSet(Now.Value); });
     Known = Now;
     if (Read) {
       Page = std::move(*Read);
@@ -136,8 +136,8 @@
     return (Now ? Now->Revision : 0) == E.Revision;
   }
 
-  RecordPage edited(const Edit &E) const {
-    RecordPage Next = Page;
+  RecordSet edited(const Edit &E) const {
+    RecordSet Next = Page;
     ++Next.Revision;
     if (E.Removes)
       Next.Objects.erase(E.Name);
@@ -149,13 +149,13 @@
   void edit(Edit E, int TriesLeft) {
     if (!asExpected(E))
       return refresh(std::move(E), TriesLeft); // Or it is we who are behind.
-    std::string Text = recordPageText(edited(E));
+    std::string Text = formatRecordSet(edited(E));
     auto If = Known.Version == 0 ? Precondition::ifAbsent()
                                  : Precondition::ifVersion(Known.Version);
     auto Written = guarded([this, E = std::move(E), Text,
                             TriesLeft](const Attempt<std::uint64_t> &Version) {
       if (Version) {
-        take({Text, *Version});
+        update({Text, *Version});
         return E.Done(KindWriteReply{true, object(E.Name)});
       }
       if (Version.error().Code == ResultCode::PlatformConflict && TriesLeft > 1)
@@ -173,7 +173,7 @@
       if (!Now && !Absent)
         return E.Done(Now.error());
       if (Now)
-        take(*Now);
+        update(*Now);
       else
         removed();
       if (asExpected(E) && TriesLeft > 1)
@@ -185,9 +185,9 @@
 
   Store &S;
   std::string Path;
-  NewsFn OnNews;
+  ChangeFn OnNews;
   StoredObject Known;
-  RecordPage Page;
+  RecordSet Page;
   std::shared_ptr<char> Alive = std::make_shared<char>();
 };
 
--- a/packages/ctl/QuarantineCommands.cpp
+++ b/packages/ctl/QuarantineCommands.cpp
@@ -11,15 +11,15 @@
 using nlohmann::json;
 
 /// The document of all records. Without one there are no records.
-Result<RecordPage> readPage(Session &S) {
+Result<RecordSet> readPage(Session &S) {
   using Read = Attempt<StoredObject>;
   Read Stored = S.await<Read>([&](const std::function<void(Read)> &Go) {
     S.platform().read(std::string(RecordsPath), Go);
   });
   if (!Stored && Stored.error().Code == ResultCode::PlatformNotFound)
-    return RecordPage();
+    return RecordSet();
   BOOST_LEAF_AUTO(Object, resultOf(std::move(Stored)));
-  return readRecordPage(Object.Value);
+  return parseRecordSet(Object.Value);
 }
 
 json recordDoc(const QuarantineRecord &R) {
--- a/packages/daemon/QuarantineLink.cpp
+++ b/packages/daemon/QuarantineLink.cpp
@@ -25,7 +25,7 @@
       Watches(std::move(Watches)), Records(Platform, std::string(RecordsPath)),
       Sync(Loop, Records, std::string(RecordsPath), Gate.table(), Rng),
       WatchBackoff(FirstWatchPause, MostWatchPause) {
-  Records.onNews([this](const RecordPage &Page) { takeNews(Page); });
+  Records.onChange([this](const RecordSet &Page) { takeNews(Page); });
   Gate.connect(
       [this](const RequestFingerprint &R, QuarantineGate::TrialCallback Done) {
         Sync.requestTrial(R, std::move(Done));
@@ -81,7 +81,7 @@
                    if (Removed)
                      Records.removed();
                    else if (Answer->has_value())
-                     Records.take(**Answer);
+                     Records.update(**Answer);
                    again(Duration(0));
                  });
 }
@@ -96,7 +96,7 @@
   Peers->records(*Watcher, {Records.version()}, AskTimeout,
                  [this](const Attempt<RecordsAnswer> &Answer) {
                    if (Answer && !Answer->Document.empty())
-                     Records.take({Answer->Document, Answer->Version});
+                     Records.update({Answer->Document, Answer->Version});
                    if (!Answer)
                      logEvent(LogLevel::Info, "records_not_told",
                               {{"code", codeLabel(Answer.error().Code)},
@@ -111,7 +111,7 @@
   Ticks = Loop.after(QuarantineSyncInterval, [this] { tick(); });
 }
 
-void QuarantineLink::takeNews(const RecordPage &Page) {
+void QuarantineLink::takeNews(const RecordSet &Page) {
   std::vector<SharedRecord> All;
   for (const auto &[Name, Object] : Page.Objects)
     if (auto R = decltype(Sync)::readShared(Object))
--- a/packages/daemon/QuarantineLink.h
+++ b/packages/daemon/QuarantineLink.h
@@ -41,7 +41,7 @@
   void askWatcher();
   void again(Duration After);
   void tick();
-  void takeNews(const RecordPage &Page);
+  void takeNews(const RecordSet &Page);
 
   EventLoop &Loop;
   const FleetState &Fleet;
--- a/tests/error/RecordDocumentsAreChecked.cpp
+++ b/tests/error/RecordDocumentsAreChecked.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 ResultCode codeOf(std::string_view Text) {
-  auto P = attempt([&] { return readRecordPage(Text); });
+  auto P = attempt([&] { return parseRecordSet(Text); });
   return P ? ResultCode::Ok : P.error().Code;
 }
 
@@ -30,10 +30,10 @@
 }
 
 TEST_CASE("a document survives the way") {
-  RecordPage P{7, {}};
+  RecordSet P{7, {}};
   P.Objects["a"] = {"a", 5, {{"trials", 1}}};
   P.Objects["b"] = {"b", 7, "anything"};
-  auto Back = attempt([&] { return readRecordPage(recordPageText(P)); });
+  auto Back = attempt([&] { return parseRecordSet(formatRecordSet(P)); });
   REQUIRE(Back);
   CHECK(*Back == P);
 }
--- a/tests/failure/RecordsShareOneObject.cpp
+++ b/tests/failure/RecordsShareOneObject.cpp
@@ -32,7 +32,7 @@
     Store.read("q/r", [&](const Attempt<StoredObject> &Now) {
       if (!Now)
         return;
-      auto Page = attempt([&] { return readRecordPage(Now->Value); });
+      auto Page = attempt([&] { return parseRecordSet(Now->Value); });
       REQUIRE(Page);
       for (const auto &[Name, O] : Page->Objects)
         Values[Name] = O.Content.get<int>();
@@ -102,15 +102,15 @@
 TEST_CASE_FIXTURE(Fixture,
                   "each newer state is news, and an older one is not") {
   std::vector<std::uint64_t> Seen;
-  B.onNews([&](const RecordPage &P) { Seen.push_back(P.Revision); });
+  B.onChange([&](const RecordSet &P) { Seen.push_back(P.Revision); });
   write(A, "x", 1, 0);
   Store.run();
   StoredObject Old = A.stored();
   write(A, "y", 1, 0);
   Store.run();
-  B.take(A.stored());
-  B.take(Old);
-  B.take(A.stored());
+  B.update(A.stored());
+  B.update(Old);
+  B.update(A.stored());
   CHECK(Seen == std::vector<std::uint64_t>{2});
 }
 
--- a/tests/fuzz/DocumentTargets.cpp
+++ b/tests/fuzz/DocumentTargets.cpp
@@ -162,10 +162,10 @@
 /// Another writer's record takes bounded memory and never says more than it
 /// may.
 void quarantineRecords(const std::string &Input) {
-  auto Page = attempt([&] { return readRecordPage(Input); });
+  auto Page = attempt([&] { return parseRecordSet(Input); });
   if (!Page)
     return;
-  auto Back = attempt([&] { return readRecordPage(recordPageText(*Page)); });
+  auto Back = attempt([&] { return parseRecordSet(formatRecordSet(*Page)); });
   require(Back && *Back == *Page, "a document survives the way");
   Quarantine Table;
   for (const auto &Item : Page->Objects) {
--- a/tests/performance/BenchQuarantine.cpp
+++ b/tests/performance/BenchQuarantine.cpp
@@ -107,12 +107,12 @@
 }
 
 bool bytesOfARecord() {
-  RecordPage Page{1, {}};
+  RecordSet Page{1, {}};
   for (int N = 0; N < int(MaxSharedRecords); ++N) {
     QuarantineRecord R = record(N);
     Page.Objects[R.Request.str()] = {R.Request.str(), 1, recordContent(R)};
   }
-  double Bytes = double(recordPageText(Page).size());
+  double Bytes = double(formatRecordSet(Page).size());
   fmt::print("bytes of a record in the store: {:.0f}\n",
              Bytes / double(MaxSharedRecords));
   // What the platform's store takes in one object.
