--- a/packages/crashguard/QuarantineGate.cpp
+++ b/packages/crashguard/QuarantineGate.cpp
@@ -20,7 +20,7 @@
   OnUnwritten = std::move(Unwritten);
 }
 
-SendRestriction QuarantineGate::restrictionFor(const NamedRequest &R,
+SendRestriction QuarantineGate::restrictionFor(const RequestAttempt &R,
                                                bool Trial) const {
   if (Trial)
     return SendRestriction::OneSend;
@@ -29,7 +29,7 @@
              : SendRestriction::OneAtATime;
 }
 
-void QuarantineGate::requestTrial(const NamedRequest &R, TrialCallback Done) {
+void QuarantineGate::requestTrial(const RequestAttempt &R, TrialCallback Done) {
   auto OnDecision = [this, R, Done = std::move(Done)](bool Granted) {
     Meter.count("shallot_quarantine_trials_total",
                 {{"granted", Granted ? "yes" : "no"}});
@@ -37,26 +37,26 @@
     Done(Granted);
   };
   if (OnTrial)
-    OnTrial(R.Print, std::move(OnDecision));
+    OnTrial(R.Fingerprint, std::move(OnDecision));
   else
     Loop.post([OnDecision = std::move(OnDecision)] { OnDecision(false); });
 }
 
-void QuarantineGate::trialUnused(const NamedRequest &R) {
-  Table.trialUnused(R.Print);
+void QuarantineGate::trialUnused(const RequestAttempt &R) {
+  Table.trialUnused(R.Fingerprint);
   logStanding(R, "trial_unused");
   unwritten();
 }
 
-void QuarantineGate::crashed(const NamedRequest &R,
+void QuarantineGate::crashed(const RequestAttempt &R,
                              const EndedProcess &Process) {
-  QuarantineRecord Seen{R.Print};
+  QuarantineRecord Seen{R.Fingerprint};
   Seen.Crashed = {Process.Name};
   Seen.SeenAt = Loop.wallTime();
   Seen.Route = R.Route;
   Seen.Path = R.Path.substr(0, MostPathBytes);
   Table.crashed(Seen);
-  Unshared.push_back({R.Print, Loop.now() + ClearedWithin});
+  Unshared.push_back({R.Fingerprint, Loop.now() + ClearedWithin});
   if (!ShareTimer.pending())
     ShareTimer = Loop.after(ClearedWithin, [this] { shareOverdue(); });
   Meter.count("shallot_replica_crashes_seen_total", {{"route", R.Route}});
@@ -64,7 +64,7 @@
            {{"replica", Process.Name},
             {"service", Process.Service.str()},
             {"id", R.Id},
-            {"fingerprint", R.Print.str()},
+            {"fingerprint", R.Fingerprint.str()},
             {"standing", std::string(quarantineStateName(quarantineState(R)))},
             {"crashes", std::to_string(crashesOf(R))}});
 }
@@ -82,7 +82,7 @@
 void QuarantineGate::shareOverdue() {
   Instant Now = Loop.now();
   while (!Unshared.empty() && Unshared.front().ShareAt <= Now) {
-    share(Unshared.front().Print);
+    share(Unshared.front().Fingerprint);
     Unshared.pop_front();
   }
   if (!Unshared.empty())
@@ -90,18 +90,18 @@
         Loop.after(Unshared.front().ShareAt - Now, [this] { shareOverdue(); });
 }
 
-void QuarantineGate::succeeded(const NamedRequest &R) {
-  if (!Table.succeeded(R.Print))
+void QuarantineGate::succeeded(const RequestAttempt &R) {
+  if (!Table.succeeded(R.Fingerprint))
     return;
   logStanding(R, "request_cleared");
   unwritten();
 }
 
-void QuarantineGate::attemptFailed(const NamedRequest &R, bool Trial,
+void QuarantineGate::attemptFailed(const RequestAttempt &R, bool Trial,
                                    bool First) {
   if (Trial)
-    Table.trialCrashed(R.Print);
-  share(R.Print);
+    Table.trialCrashed(R.Fingerprint);
+  share(R.Fingerprint);
   if (First)
     logStanding(R, "request_suspected");
 }
@@ -114,11 +114,11 @@
                double(Table.count(S)));
 }
 
-void QuarantineGate::logStanding(const NamedRequest &R,
+void QuarantineGate::logStanding(const RequestAttempt &R,
                                  std::string_view Event) {
   logEvent(LogLevel::Warn, Event,
            {{"id", R.Id},
-            {"fingerprint", R.Print.str()},
+            {"fingerprint", R.Fingerprint.str()},
             {"route", R.Route},
             {"standing", std::string(quarantineStateName(quarantineState(R)))},
             {"crashes", std::to_string(crashesOf(R))}});
--- a/packages/crashguard/QuarantineGate.h
+++ b/packages/crashguard/QuarantineGate.h
@@ -29,8 +29,8 @@
 inline constexpr Duration TrialRetryDelay = Millis(400);
 
 /// A caller's attempt, as logs and records name it.
-struct NamedRequest {
-  RequestFingerprint Print;
+struct RequestAttempt {
+  RequestFingerprint Fingerprint;
   std::string Id;
   std::string Route;
   std::string Path; ///< For operators; its beginning is kept.
@@ -57,27 +57,27 @@
   /// Who grants trials, and who is told that something is to be written.
   void connect(TrialFn OnTrial, std::function<void()> OnUnwritten);
 
-  QuarantineState quarantineState(const NamedRequest &R) const {
-    return Table.quarantineState(R.Print);
+  QuarantineState quarantineState(const RequestAttempt &R) const {
+    return Table.quarantineState(R.Fingerprint);
   }
-  unsigned crashesOf(const NamedRequest &R) const {
-    return Table.crashesOf(R.Print);
+  unsigned crashesOf(const RequestAttempt &R) const {
+    return Table.crashesOf(R.Fingerprint);
   }
   /// How the next attempt at \p R is sent. \p Trial: one was granted to it.
-  SendRestriction restrictionFor(const NamedRequest &R, bool Trial) const;
+  SendRestriction restrictionFor(const RequestAttempt &R, bool Trial) const;
 
   /// \p Done is called once, never before this returns.
-  void requestTrial(const NamedRequest &R, TrialCallback Done);
+  void requestTrial(const RequestAttempt &R, TrialCallback Done);
   /// A granted trial ended before anything of it reached a replica.
-  void trialUnused(const NamedRequest &R);
+  void trialUnused(const RequestAttempt &R);
   /// \p Process ended while it had the request.
-  void crashed(const NamedRequest &R, const EndedProcess &Process);
+  void crashed(const RequestAttempt &R, const EndedProcess &Process);
   /// A run of it ended well.
-  void succeeded(const NamedRequest &R);
+  void succeeded(const RequestAttempt &R);
   /// Replicas crashed under the attempt and no run of it ended well. To be
   /// called again when that is found of another one after the answer: \p First
   /// is false then. \p Trial: it was a granted one.
-  void attemptFailed(const NamedRequest &R, bool Trial, bool First);
+  void attemptFailed(const RequestAttempt &R, bool Trial, bool First);
 
   /// Requests known here, by standing.
   void writeGauges(Metrics &Into) const;
@@ -86,11 +86,11 @@
   void share(const RequestFingerprint &R);
   void unwritten() const;
   void shareOverdue();
-  void logStanding(const NamedRequest &R, std::string_view Event);
+  void logStanding(const RequestAttempt &R, std::string_view Event);
 
   /// Evidence that may be cleared by an attempt that still runs.
   struct Fresh {
-    RequestFingerprint Print;
+    RequestFingerprint Fingerprint;
     Instant ShareAt;
   };
 
--- a/packages/crashguard/QuarantineSync.h
+++ b/packages/crashguard/QuarantineSync.h
@@ -127,7 +127,7 @@
   };
 
   void write(const QuarantineWrite &W, std::function<void(WriteEnd)> Done) {
-    Table.writeBegins(W.Record.Request);
+    Table.writeStarted(W.Record.Request);
     auto Written = guarded(
         [this, W, Done = std::move(Done)](Attempt<KindWriteReply> Reply) {
           if (Reply)
--- a/packages/daemon/SearchService.cpp
+++ b/packages/daemon/SearchService.cpp
@@ -20,7 +20,7 @@
 
 /// The same search whoever carries it: ids, deadlines and classes are of one
 /// attempt. What is asked of other services is another search.
-NamedRequest nameOf(const Search &S) {
+RequestAttempt nameOf(const Search &S) {
   std::string Target = std::string(SearchPath) + "?services=";
   for (const ServiceName &Name : S.Services)
     Target += Name.str() + ",";
@@ -68,7 +68,7 @@
 
 SearchService::SearchId SearchService::search(Search S, Callback Done) {
   SearchId Id = ++LastId;
-  NamedRequest Name = nameOf(S);
+  RequestAttempt Name = nameOf(S);
   Run R(std::move(S), std::move(Name), std::move(Done), Loop.now());
   Active.emplace(Id, std::move(R));
   vet(Id);
@@ -100,7 +100,7 @@
   Crashes.requestTrial(R.Name, OnDecision);
 }
 
-void SearchService::trialAnswered(SearchId Id, const NamedRequest &Name,
+void SearchService::trialAnswered(SearchId Id, const RequestAttempt &Name,
                                   bool Granted) {
   auto At = Active.find(Id);
   if (At == Active.end() || !At->second.TrialAsked) {
--- a/packages/daemon/SearchService.h
+++ b/packages/daemon/SearchService.h
@@ -67,12 +67,12 @@
     ServiceName Service;
   };
   struct Run {
-    Run(Search Request, NamedRequest Name, Callback Done, Instant Arrived)
+    Run(Search Request, RequestAttempt Name, Callback Done, Instant Arrived)
         : Request(std::move(Request)), Name(std::move(Name)),
           Done(std::move(Done)), Arrived(Arrived) {}
 
     Search Request;
-    NamedRequest Name;
+    RequestAttempt Name;
     Callback Done;
     Instant Arrived;
     Instant Started;
@@ -90,7 +90,7 @@
 
   void vet(SearchId Id);
   void askTrial(SearchId Id);
-  void trialAnswered(SearchId Id, const NamedRequest &Name, bool Granted);
+  void trialAnswered(SearchId Id, const RequestAttempt &Name, bool Granted);
   void admit(SearchId Id);
   void start(SearchId Id);
   void refuse(SearchId Id, const AdmissionDecision &V);
--- a/packages/front/AnswerWriting.cpp
+++ b/packages/front/AnswerWriting.cpp
@@ -66,8 +66,8 @@
       "being tried, or cannot be tried now"};
 }
 
-void noteAnswer(Metrics &Meter, const NamedRequest &Name, const ForwardRun &Run,
-                const ForwardAnswer &A, Instant Now) {
+void noteAnswer(Metrics &Meter, const RequestAttempt &Name,
+                const ForwardRun &Run, const ForwardAnswer &A, Instant Now) {
   const ForwardRequest &Request = Run.request();
   Duration Took = Now - Request.Arrived;
   std::string Outcome(outcomeOf(A));
@@ -82,7 +82,7 @@
   const auto *Passed = std::get_if<PassedAnswer>(&A);
   logEvent(LogLevel::Info, "request",
            {{"id", Name.Id},
-            {"fingerprint", Name.Print.str()},
+            {"fingerprint", Name.Fingerprint.str()},
             {"route", Request.Matched->Name},
             {"config", std::to_string(Request.Config->version())},
             {"outcome", Outcome},
--- a/packages/front/AnswerWriting.h
+++ b/packages/front/AnswerWriting.h
@@ -32,8 +32,8 @@
 
 /// Counts \p A, the answer of \p Run to the request \p Name, and logs it if it
 /// is not whole or came after the route's objective.
-void noteAnswer(Metrics &Meter, const NamedRequest &Name, const ForwardRun &Run,
-                const ForwardAnswer &A, Instant Now);
+void noteAnswer(Metrics &Meter, const RequestAttempt &Name,
+                const ForwardRun &Run, const ForwardAnswer &A, Instant Now);
 
 } // namespace shallot
 
--- a/packages/front/RequestHandlerImpl.h
+++ b/packages/front/RequestHandlerImpl.h
@@ -20,12 +20,12 @@
 struct RequestHandler::Impl {
   /// One request on its way.
   struct Job {
-    Job(ExchangePtr E, ForwardRequest Request, NamedRequest Name)
+    Job(ExchangePtr E, ForwardRequest Request, RequestAttempt Name)
         : E(std::move(E)), Run(std::move(Request)), Name(std::move(Name)) {}
 
     ExchangePtr E;
     ForwardRun Run;
-    NamedRequest Name;
+    RequestAttempt Name;
     bool Trial = false;     ///< A trial was granted for it.
     bool Cleared = false;   ///< That a run ended well was noted.
     bool Suspected = false; ///< That replicas crashed under it was noted.
--- a/packages/front/RequestReading.cpp
+++ b/packages/front/RequestReading.cpp
@@ -46,8 +46,8 @@
   return requestHead(R.Method, R.Target, Kept);
 }
 
-NamedRequest nameRequest(const CallerRequest &R, std::string_view Host,
-                         std::string Route, std::string Id) {
+RequestAttempt nameRequest(const CallerRequest &R, std::string_view Host,
+                           std::string Route, std::string Id) {
   RequestIdentity Parts{R.Method, Host, R.Target,
                         headerValue(R.Headers, CredentialsHeader), R.Body};
   return {RequestFingerprint::of(Parts), std::move(Id), std::move(Route),
--- a/packages/front/RequestReading.h
+++ b/packages/front/RequestReading.h
@@ -29,8 +29,8 @@
 std::string forwardedHead(const CallerRequest &R, const HeaderNames &Names);
 
 /// Names an attempt for \p Host on the route \p Route.
-NamedRequest nameRequest(const CallerRequest &R, std::string_view Host,
-                         std::string Route, std::string Id);
+RequestAttempt nameRequest(const CallerRequest &R, std::string_view Host,
+                           std::string Route, std::string Id);
 
 } // namespace shallot
 
--- a/packages/quarantine/Quarantine.cpp
+++ b/packages/quarantine/Quarantine.cpp
@@ -112,7 +112,7 @@
   return true;
 }
 
-void Quarantine::writeBegins(const RequestFingerprint &R) {
+void Quarantine::writeStarted(const RequestFingerprint &R) {
   auto At = Entries.find(R);
   if (At == Entries.end())
     return;
--- a/packages/quarantine/Quarantine.h
+++ b/packages/quarantine/Quarantine.h
@@ -100,7 +100,7 @@
   std::optional<QuarantineWrite> nextWrite() const;
   /// A write of the record of \p R is on its way, or has ended. A run that ends
   /// well meanwhile voids what the write leaves behind.
-  void writeBegins(const RequestFingerprint &R);
+  void writeStarted(const RequestFingerprint &R);
   void writeEnded(const RequestFingerprint &R);
   /// The write that grants a trial; nothing when none is left.
   std::optional<QuarantineWrite> trialWrite(const RequestFingerprint &R) const;
--- a/tests/failure/CrashesAreCountedOnce.cpp
+++ b/tests/failure/CrashesAreCountedOnce.cpp
@@ -101,7 +101,7 @@
   Q.share(request());
   auto W = Q.nextWrite();
   REQUIRE(W);
-  Q.writeBegins(request());
+  Q.writeStarted(request());
   Q.succeeded(request());
   CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   Q.put({W->Record, 5}); // The store has it now.
@@ -193,7 +193,7 @@
   CHECK(W->Revision == 6);
   CHECK(W->Record.Trials == 0);
   // The reply to this write may be lost after it was done: it is not repeated.
-  Q.writeBegins(request());
+  Q.writeStarted(request());
   Q.writeEnded(request());
   CHECK_FALSE(Q.nextWrite());
 }
--- a/tests/failure/TrialsAreBoundedInTheFleet.cpp
+++ b/tests/failure/TrialsAreBoundedInTheFleet.cpp
@@ -68,7 +68,7 @@
     auto W = Q.nextWrite();
     if (!W)
       return;
-    Q.writeBegins(deadly());
+    Q.writeStarted(deadly());
     Shop.write(*W);
     auto Now = Shop.Records.find(deadly());
     if (below(Rng, 3) != 0 && Now != Shop.Records.end())
