--- a/packages/limits/GrantedShare.cpp
+++ b/packages/limits/GrantedShare.cpp
@@ -5,25 +5,25 @@
 
 namespace shallot {
 
-void GrantedShare::grant(double Part, Instant Now) {
-  forget(Now);
-  if (!Grants.empty() && Grants.back().Part == Part)
+void GrantedShare::grant(double Fraction, Instant Now) {
+  dropExpired(Now);
+  if (!Grants.empty() && Grants.back().Fraction == Fraction)
     return;
-  // Before the first grant nothing had been granted for ever.
+  // The initial share counts as granted since the beginning of time.
   if (Grants.empty())
-    Grants.push_back({Instant::min(), First});
-  Grants.push_back({Now, Part});
+    Grants.push_back({Instant::min(), Initial});
+  Grants.push_back({Now, Fraction});
 }
 
 double GrantedShare::usable(Instant Now) const {
-  double Least = Grants.empty() ? First : Grants.back().Part;
+  double Min = Grants.empty() ? Initial : Grants.back().Fraction;
   for (std::size_t I = 0; I + 1 < Grants.size(); ++I)
     if (Grants[I + 1].From > Now - Span)
-      Least = std::min(Least, Grants[I].Part);
-  return Least;
+      Min = std::min(Min, Grants[I].Fraction);
+  return Min;
 }
 
-void GrantedShare::forget(Instant Now) {
+void GrantedShare::dropExpired(Instant Now) {
   while (Grants.size() > 1 && Grants[1].From <= Now - Span)
     Grants.pop_front();
 }
--- a/packages/limits/GrantedShare.h
+++ b/packages/limits/GrantedShare.h
@@ -1,17 +1,17 @@
-//===- GrantedShare.h - A share that changes hands in a window --*- C++ -*-===//
+//===- GrantedShare.h - Hand-over of shares of a rate limit -----*- C++ -*-===//
 //
-// A bound on what all daemons do in any window (second sends in ten seconds) is
-// allocated to them by shares that follow from the picture of the fleet. When
-// the picture changes, whoever had a share may have used it up already, and
-// whoever gains one must not use it in the same window.
+// A fleet-wide rate limit (second sends in any ten seconds) is divided among
+// the daemons by shares that each computes from its view of the fleet. When the
+// view changes, the previous owner of a share may have used it up already, so
+// the new owner must not use it in the same window.
 //
-// So a daemon may use the least of the shares that it was granted over the last
-// window. Of any window, take the moment at which it begins: whatever a daemon
-// uses in it is at most its share of that moment, and the shares of one moment
-// add up to the whole. Daemons see a change at different times, so the span
-// that is looked back over is longer by that time. A set that comes and goes
-// before all have seen it is not covered; whoever uses this keeps a part of the
-// bound back for that.
+// A daemon may therefore use only the minimum of the shares that it was granted
+// over the last window. For any window, consider the moment at which it begins:
+// a daemon uses at most its share of that moment during the window, and the
+// shares of one moment add up to the whole. Because daemons see a change at
+// different times, the look-back span is longer than the window by that time.
+// A view that is replaced before all daemons have seen it is not covered; users
+// of this class hold back a part of the limit for that case.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_GRANTEDSHARE_H
@@ -25,27 +25,26 @@
 
 class GrantedShare {
 public:
-  /// \p Span: the window and the time in which all daemons see a change
-  /// (ViewPropagationTime). \p First: what counts as granted before the first
-  /// grant.
-  GrantedShare(Duration Span, double First) : Span(Span), First(First) {}
-
-  /// The picture grants \p Part, from 0 to 1, from now on.
-  void grant(double Part, Instant Now);
-  /// What may be used now.
+  /// \p Span is the window plus the time in which all daemons see a change
+  /// (ViewPropagationTime), \p Initial the share before the first grant.
+  GrantedShare(Duration Span, double Initial) : Span(Span), Initial(Initial) {}
+
+  /// Grants the share \p Fraction, from 0 to 1, from \p Now on.
+  void grant(double Fraction, Instant Now);
+  /// The share that may be used at \p Now.
   double usable(Instant Now) const;
 
 private:
   struct Grant {
     Instant From;
-    double Part = 0;
+    double Fraction = 0;
   };
 
-  void forget(Instant Now);
+  void dropExpired(Instant Now);
 
   Duration Span;
-  double First;
-  /// In order of time; the first one was in force when the span began.
+  double Initial;
+  /// In order of time; the first was in force when the span began.
   std::deque<Grant> Grants;
 };
 
--- a/packages/limits/HandoverGuard.cpp
+++ b/packages/limits/HandoverGuard.cpp
@@ -14,31 +14,31 @@
 Share HandoverGuard::shareOf(const Entry &E) {
   if (E.Usable == 0)
     return {};
-  // While slots rest, so does their proportional part of the connections.
+  // The connections of pending slots are withheld in proportion.
   return {E.Usable, E.Held.Connections * E.Usable / E.Held.Slots};
 }
 
-void HandoverGuard::gain(Entry &E, unsigned Slots, Instant Now) {
+void HandoverGuard::addPending(Entry &E, unsigned Slots, Instant Now) {
   if (Slots > 0)
-    E.Resting.push_back({Now + GuardTime, Slots});
+    E.Pending.push_back({Now + GuardTime, Slots});
 }
 
-void HandoverGuard::lose(Entry &E, unsigned Slots) {
-  // The latest gains go first: nobody relies on them yet.
-  while (Slots > 0 && !E.Resting.empty()) {
-    Gain &Last = E.Resting.back();
+void HandoverGuard::removeSlots(Entry &E, unsigned Slots) {
+  // The latest gains go first, because they are not in use yet.
+  while (Slots > 0 && !E.Pending.empty()) {
+    Gain &Last = E.Pending.back();
     unsigned Taken = std::min(Slots, Last.Slots);
     Last.Slots -= Taken;
     Slots -= Taken;
     if (Last.Slots == 0)
-      E.Resting.pop_back();
+      E.Pending.pop_back();
   }
   E.Usable -= std::min(Slots, E.Usable);
 }
 
-bool HandoverGuard::ripen(Entry &E, Instant Now) {
+bool HandoverGuard::activateDue(Entry &E, Instant Now) {
   bool Changed = false;
-  std::erase_if(E.Resting, [&](const Gain &G) {
+  std::erase_if(E.Pending, [&](const Gain &G) {
     if (G.UsableAt > Now)
       return false;
     E.Usable += G.Slots;
@@ -57,13 +57,13 @@
     auto &[Id, E] = *It;
     Share Before = shareOf(E);
     Share Held = A.heldBySelf(Id);
-    ripen(E, Now);
+    activateDue(E, Now);
     if (Held.Slots > E.Held.Slots)
-      gain(E, Held.Slots - E.Held.Slots, Now);
+      addPending(E, Held.Slots - E.Held.Slots, Now);
     else
-      lose(E, E.Held.Slots - Held.Slots);
+      removeSlots(E, E.Held.Slots - Held.Slots);
     E.Held = Held;
-    ripen(E, Now); // With no guard time a gain is usable at once.
+    activateDue(E, Now); // Without a guard time a gain is usable at once.
     if (Share After = shareOf(E); After != Before)
       Out.push_back({Id, After});
     It = Held.Slots == 0 ? Entries.erase(It) : std::next(It);
@@ -74,7 +74,7 @@
 std::vector<ShareChange> HandoverGuard::due(Instant Now) {
   std::vector<ShareChange> Out;
   for (auto &[Id, E] : Entries)
-    if (ripen(E, Now))
+    if (activateDue(E, Now))
       Out.push_back({Id, shareOf(E)});
   return Out;
 }
@@ -82,7 +82,7 @@
 std::optional<Instant> HandoverGuard::nextDue() const {
   std::optional<Instant> Next;
   for (const auto &[Id, E] : Entries)
-    for (const Gain &G : E.Resting)
+    for (const Gain &G : E.Pending)
       if (!Next || G.UsableAt < *Next)
         Next = G.UsableAt;
   return Next;
@@ -96,7 +96,7 @@
 unsigned HandoverGuard::pending() const {
   unsigned Sum = 0;
   for (const auto &[Id, E] : Entries)
-    for (const Gain &G : E.Resting)
+    for (const Gain &G : E.Pending)
       Sum += G.Slots;
   return Sum;
 }
--- a/packages/limits/HandoverGuard.h
+++ b/packages/limits/HandoverGuard.h
@@ -1,11 +1,11 @@
-//===- HandoverGuard.h - When a slot that changed hands is used -*- C++ -*-===//
+//===- HandoverGuard.h - Delays the use of reassigned slots -----*- C++ -*-===//
 //
-// When the fleet changes, daemons learn of it at different times. For a while
-// the old holder of a slot may still use it while the new one already believes
-// it is its own. The guard turns what this daemon holds (SlotAllocation) into
-// what it may use: a gained slot only after guardTime(), a lost one not from
-// this moment on. Work that is already running on a lost slot is counted
-// against the share until it is done (SlotQueue).
+// Daemons learn of a change of the fleet at different times, so the old holder
+// of a slot may still use it while the new one already considers it its own.
+// The guard derives the slots that this daemon may use from those it holds
+// (SlotAllocation): a gained slot becomes usable only after guardTime(), a lost
+// one stops being usable at once. Requests that still run on a lost slot count
+// against the share until they end (SlotQueue).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_HANDOVERGUARD_H
@@ -17,21 +17,21 @@
 
 namespace shallot {
 
-/// The time in which every daemon that can be reached has the same picture of
-/// the fleet: failure detection and spread by gossip.
+/// The time after which all reachable daemons have the same view of the fleet:
+/// failure detection and propagation by gossip.
 inline constexpr Duration ViewPropagationTime = Seconds(3);
 
-/// The most that the longest sub-request still running adds to the guard. A
-/// class with a longer deadline may overlap with the new holder by the rest;
-/// without this bound one batch class of 30 s would keep every slot that
-/// changes hands idle for half a minute.
+/// Maximum time that the guard allows for sub-requests still running on a lost
+/// slot. Those of a class with a longer deadline may overlap with the new
+/// holder; without this bound one batch class with a deadline of 30 s would
+/// keep every reassigned slot idle for half a minute.
 inline constexpr Duration MaxDrainWait = Seconds(2);
 
-/// How long a gained slot rests: ViewPropagationTime and the longest class
-/// deadline of \p P, at most MaxDrainWait.
+/// The delay before a gained slot may be used: ViewPropagationTime plus the
+/// longest class deadline of \p P, the latter at most MaxDrainWait.
 Duration guardTime(const Preset &P);
 
-/// What may be used of an upstream has changed.
+/// A change of the usable share of an upstream.
 struct ShareChange {
   UpstreamId Id;
   Share Now;
@@ -43,24 +43,24 @@
 public:
   explicit HandoverGuard(Duration GuardTime) : GuardTime(GuardTime) {}
 
-  /// Another preset may have another guard time; slots that rest already keep
-  /// the time they were given.
+  /// Sets the guard time for slots gained from now on; pending slots keep
+  /// theirs.
   void setGuardTime(Duration D) { GuardTime = D; }
 
-  /// Takes a new deal and returns what changed at once: losses, and gains that
-  /// had rested long enough.
+  /// Applies a new allocation and returns the changes that take effect at once:
+  /// losses, and earlier gains whose guard time has passed.
   std::vector<ShareChange> update(const SlotAllocation &A, Instant Now);
 
-  /// Gains that have rested long enough by \p Now.
+  /// Returns the gains whose guard time has passed by \p Now.
   std::vector<ShareChange> due(Instant Now);
 
-  /// When due() next has something to say.
+  /// When the next pending gain becomes usable.
   std::optional<Instant> nextDue() const;
 
-  /// What may be used of an upstream as of the last update() or due().
+  /// The usable share of an upstream as of the last update() or due().
   Share usable(const UpstreamId &Id) const;
 
-  /// Slots gained and resting, over all upstreams.
+  /// Slots gained but not usable yet, over all upstreams.
   unsigned pending() const;
 
 private:
@@ -69,15 +69,15 @@
     unsigned Slots = 0;
   };
   struct Entry {
-    Share Held;                ///< By the last deal.
+    Share Held;                ///< By the last update().
     unsigned Usable = 0;       ///< Slots.
-    std::vector<Gain> Resting; ///< Oldest first; their sum and Usable is Held.
+    std::vector<Gain> Pending; ///< Oldest first; Held less Usable.
   };
 
   static Share shareOf(const Entry &E);
-  void gain(Entry &E, unsigned Slots, Instant Now);
-  static void lose(Entry &E, unsigned Slots);
-  static bool ripen(Entry &E, Instant Now);
+  void addPending(Entry &E, unsigned Slots, Instant Now);
+  static void removeSlots(Entry &E, unsigned Slots);
+  static bool activateDue(Entry &E, Instant Now);
 
   Duration GuardTime;
   std::unordered_map<UpstreamId, Entry> Entries;
--- a/packages/limits/SlotAllocation.cpp
+++ b/packages/limits/SlotAllocation.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::uint32_t Nobody = UINT32_MAX;
+constexpr std::uint32_t NoDaemon = UINT32_MAX;
 
-/// Mixes the hashes of a key and a node into a rendezvous weight. The names are
-/// hashed once an allocation; hashing them for each pair would cost five times
-/// more.
+/// Mixes the hashes of a key and a node into a rendezvous weight. Names are
+/// hashed once per allocation; hashing them for each pair would cost five times
+/// as much.
 std::uint64_t weight(std::uint64_t Key, std::uint64_t Node) {
   std::uint64_t X = Key ^ (Node * 0x9e3779b97f4a7c15ULL);
   X = (X ^ (X >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -21,26 +21,26 @@
   return X ^ (X >> 31);
 }
 
-/// \p Hash as a number in [0, 1).
+/// Maps \p Hash to [0, 1).
 double fraction(std::uint64_t Hash) {
   return static_cast<double>(Hash >> 11) / 9007199254740992.0;
 }
 
-/// Slots of one upstream that one daemon was allocated.
-struct Part {
+/// The slots of one upstream that are allocated to one daemon.
+struct Assignment {
   std::uint32_t Daemon = 0; ///< Index into the members.
   unsigned Slots = 0;
 };
-using Parts = std::vector<Part>;
+using Assignments = std::vector<Assignment>;
 
-/// A service with what the order of the allocation goes by.
+/// A service and its group, by which the services are ordered.
 struct AllocatedService {
   const Group *InGroup = nullptr;
   const Service *Svc = nullptr;
 };
 
-/// The members that take new work, one for each host, sorted by Id.
-std::vector<Member> dealtMembers(const FleetView &V) {
+/// The members that take new work, one per host, sorted by Id.
+std::vector<Member> eligibleMembers(const FleetView &V) {
   std::vector<Member> Out;
   for (const Member &M : V.Members)
     if (takesNewWork(M))
@@ -48,7 +48,7 @@
   std::sort(Out.begin(), Out.end(),
             [](const Member &A, const Member &B) { return A.Id < B.Id; });
   // A later incarnation replaces an earlier one that is not yet known to have
-  // failed; with both allocated to, the host would hold a double part.
+  // failed; counting both would give the host a double share.
   std::vector<Member> Latest;
   for (Member &M : Out) {
     if (!Latest.empty() && Latest.back().Id.Host == M.Id.Host)
@@ -58,7 +58,7 @@
   return Latest;
 }
 
-/// All services in an order that every daemon computes alike.
+/// All services in an order that is the same on every daemon.
 std::vector<AllocatedService> servicesInOrder(const Config &C) {
   std::vector<AllocatedService> Out;
   for (const Group &G : C.groups())
@@ -81,40 +81,40 @@
   return Total;
 }
 
-/// Allocates the services one after the other and keeps the load of each
-/// daemon.
+/// Allocates services one by one and tracks the load of each daemon.
 class Allocator {
 public:
   Allocator(const std::vector<Member> &Members,
             const std::vector<AllocatedService> &Services);
 
-  /// The parts of each upstream of \p S, in the order of its upstreams.
-  const std::vector<Parts> &allocate(const Service &S);
+  /// Returns the assignments for each upstream of \p S, in the order of its
+  /// upstreams.
+  const std::vector<Assignments> &allocate(const Service &S);
 
 private:
   void allocateEqualParts(const Service &S);
-  void allocateNear(const Service &S, std::size_t U);
-  void allocateFar(const Service &S);
+  void allocateInZone(const Service &S, std::size_t U);
+  void allocateOutsideZone(const Service &S);
   void allocateRemainder(const Service &S);
-  void give(std::size_t U, std::uint32_t Daemon);
-  std::uint32_t heaviest(const std::vector<std::uint32_t> &Candidates,
-                         std::uint64_t Key, bool BelowLimitOnly) const;
+  void assignSlot(std::size_t U, std::uint32_t Daemon);
+  std::uint32_t highestWeight(const std::vector<std::uint32_t> &Candidates,
+                              std::uint64_t Key, bool BelowLimitOnly) const;
   std::uint32_t remainderOwner(const Upstream &U, std::uint64_t Key) const;
-  std::size_t fullestUpstream(std::uint32_t Daemon) const;
+  std::size_t upstreamWithMostLeft(std::uint32_t Daemon) const;
 
-  std::vector<std::uint64_t> Hash; ///< Of the host, by member.
-  std::vector<std::uint32_t> Everyone;
+  std::vector<std::uint64_t> Hash; ///< Of the host name, by member.
+  std::vector<std::uint32_t> AllDaemons;
   std::map<AvailabilityZone, std::vector<std::uint32_t>> ByZone;
-  std::vector<unsigned> Load; ///< Slots so far, equal parts of all included.
-  std::vector<unsigned> LoadLimit; ///< For the remainders.
-
-  // Of the service that is being allocated.
-  std::vector<Parts> Allocated;
-  std::vector<unsigned> Left;      ///< Slots not allocated yet, by upstream.
-  std::vector<std::uint64_t> Keys; ///< Hash of the name, by upstream.
-  std::vector<unsigned> Quota;     ///< Equal part not yet given, by member.
+  std::vector<unsigned> Load;      ///< Slots so far, with all equal shares.
+  std::vector<unsigned> LoadLimit; ///< Applies to remainders.
+
+  // State of the service that is being allocated.
+  std::vector<Assignments> Allocated;
+  std::vector<unsigned> Unallocated; ///< Slots, by upstream.
+  std::vector<std::uint64_t> Keys;   ///< Hash of the name, by upstream.
+  std::vector<unsigned> Quota;       ///< Unassigned equal share, by member.
   std::vector<std::uint32_t>
-      HasRemainder; ///< Number of the service, by member.
+      HasRemainder; ///< Last ServiceNumber with a remainder, by member.
   std::uint32_t ServiceNumber = 0;
 };
 
@@ -123,32 +123,32 @@
     : Quota(Members.size(), 0), HasRemainder(Members.size(), 0) {
   for (std::uint32_t I = 0; I < Members.size(); ++I) {
     Hash.push_back(hash64(Members[I].Id.Host.str()));
-    Everyone.push_back(I);
+    AllDaemons.push_back(I);
     ByZone[Members[I].Zone].push_back(I);
   }
-  unsigned Equal = 0;
+  unsigned EqualTotal = 0;
   double Total = 0;
   for (const AllocatedService &S : Services) {
     unsigned Slots = slotsOf(*S.Svc);
-    Equal += Slots / Members.size();
+    EqualTotal += Slots / Members.size();
     Total += Slots;
   }
-  Load.assign(Members.size(), Equal);
-  // The limits of the daemons are rounded up at different points. If all were
-  // rounded alike, one daemon more or less could change every limit at once
-  // and move slots all over the fleet.
+  Load.assign(Members.size(), EqualTotal);
+  // Each daemon's limit is rounded at a different threshold. With a common
+  // threshold, one daemon joining or leaving could change every limit at once
+  // and move slots throughout the fleet.
   double Target = LoadHeadroom * Total / static_cast<double>(Members.size());
   for (std::uint64_t H : Hash)
     LoadLimit.push_back(static_cast<unsigned>(Target + fraction(H)));
 }
 
-const std::vector<Parts> &Allocator::allocate(const Service &S) {
+const std::vector<Assignments> &Allocator::allocate(const Service &S) {
   ++ServiceNumber;
   Allocated.assign(S->Upstreams.size(), {});
-  Left.clear();
+  Unallocated.clear();
   Keys.clear();
   for (const Upstream &U : S->Upstreams) {
-    Left.push_back(U->Slots);
+    Unallocated.push_back(U->Slots);
     Keys.push_back(hash64(U->Id.str()));
   }
   allocateEqualParts(S);
@@ -157,87 +157,90 @@
 }
 
 void Allocator::allocateEqualParts(const Service &S) {
-  unsigned Part = slotsOf(S) / static_cast<unsigned>(Everyone.size());
-  if (Part == 0)
+  unsigned PerDaemon = slotsOf(S) / static_cast<unsigned>(AllDaemons.size());
+  if (PerDaemon == 0)
     return;
-  std::fill(Quota.begin(), Quota.end(), Part);
-  for (std::size_t U = 0; U < Left.size(); ++U)
-    allocateNear(S, U);
-  allocateFar(S);
+  std::fill(Quota.begin(), Quota.end(), PerDaemon);
+  for (std::size_t U = 0; U < Unallocated.size(); ++U)
+    allocateInZone(S, U);
+  allocateOutsideZone(S);
 }
 
-void Allocator::allocateNear(const Service &S, std::size_t U) {
+void Allocator::allocateInZone(const Service &S, std::size_t U) {
   auto Zone = ByZone.find(S->Upstreams[U]->Zone);
   if (Zone == ByZone.end())
     return;
-  std::vector<std::uint32_t> Near = Zone->second;
-  std::sort(Near.begin(), Near.end(), [&](std::uint32_t A, std::uint32_t B) {
-    return weight(Keys[U], Hash[A]) > weight(Keys[U], Hash[B]);
-  });
-  for (bool Gave = true; Gave && Left[U] > 0;) {
-    Gave = false;
-    for (std::uint32_t D : Near) {
-      if (Quota[D] == 0 || Left[U] == 0)
+  std::vector<std::uint32_t> InZone = Zone->second;
+  std::sort(InZone.begin(), InZone.end(),
+            [&](std::uint32_t A, std::uint32_t B) {
+              return weight(Keys[U], Hash[A]) > weight(Keys[U], Hash[B]);
+            });
+  for (bool Assigned = true; Assigned && Unallocated[U] > 0;) {
+    Assigned = false;
+    for (std::uint32_t D : InZone) {
+      if (Quota[D] == 0 || Unallocated[U] == 0)
         continue;
       --Quota[D];
-      give(U, D);
-      Gave = true;
+      assignSlot(U, D);
+      Assigned = true;
     }
   }
 }
 
-void Allocator::allocateFar(const Service &S) {
+void Allocator::allocateOutsideZone(const Service &S) {
   std::uint64_t Key = hash64(S->Name.str());
-  std::vector<std::uint32_t> Needy;
-  for (std::uint32_t D : Everyone)
+  std::vector<std::uint32_t> BelowQuota;
+  for (std::uint32_t D : AllDaemons)
     if (Quota[D] > 0)
-      Needy.push_back(D);
-  std::sort(Needy.begin(), Needy.end(), [&](std::uint32_t A, std::uint32_t B) {
-    return weight(Key, Hash[A]) > weight(Key, Hash[B]);
-  });
-  for (std::uint32_t D : Needy)
+      BelowQuota.push_back(D);
+  std::sort(BelowQuota.begin(), BelowQuota.end(),
+            [&](std::uint32_t A, std::uint32_t B) {
+              return weight(Key, Hash[A]) > weight(Key, Hash[B]);
+            });
+  for (std::uint32_t D : BelowQuota)
     for (; Quota[D] > 0; --Quota[D])
-      give(fullestUpstream(D), D);
+      assignSlot(upstreamWithMostLeft(D), D);
 }
 
-std::size_t Allocator::fullestUpstream(std::uint32_t Daemon) const {
+std::size_t Allocator::upstreamWithMostLeft(std::uint32_t Daemon) const {
   std::size_t Best = 0;
-  for (std::size_t U = 1; U < Left.size(); ++U) {
+  for (std::size_t U = 1; U < Unallocated.size(); ++U) {
     bool Heavier =
         weight(Keys[U], Hash[Daemon]) > weight(Keys[Best], Hash[Daemon]);
-    if (Left[U] > Left[Best] || (Left[U] == Left[Best] && Heavier))
+    if (Unallocated[U] > Unallocated[Best] ||
+        (Unallocated[U] == Unallocated[Best] && Heavier))
       Best = U;
   }
   return Best;
 }
 
 void Allocator::allocateRemainder(const Service &S) {
-  for (std::size_t U = 0; U < Left.size(); ++U)
-    while (Left[U] > 0) {
+  for (std::size_t U = 0; U < Unallocated.size(); ++U)
+    while (Unallocated[U] > 0) {
       std::uint32_t D = remainderOwner(S->Upstreams[U], Keys[U]);
       HasRemainder[D] = ServiceNumber;
       ++Load[D];
-      give(U, D);
+      assignSlot(U, D);
     }
 }
 
 std::uint32_t Allocator::remainderOwner(const Upstream &U,
                                         std::uint64_t Key) const {
-  std::uint32_t D = Nobody;
+  std::uint32_t D = NoDaemon;
   if (auto Zone = ByZone.find(U->Zone); Zone != ByZone.end())
-    D = heaviest(Zone->second, Key, /*BelowLimitOnly=*/true);
-  if (D == Nobody)
-    D = heaviest(Everyone, Key, /*BelowLimitOnly=*/true);
-  // The remainder is smaller than the fleet, so somebody has none of it.
-  if (D == Nobody)
-    D = heaviest(Everyone, Key, /*BelowLimitOnly=*/false);
+    D = highestWeight(Zone->second, Key, /*BelowLimitOnly=*/true);
+  if (D == NoDaemon)
+    D = highestWeight(AllDaemons, Key, /*BelowLimitOnly=*/true);
+  // The remainder is smaller than the fleet, so some daemon has none of it.
+  if (D == NoDaemon)
+    D = highestWeight(AllDaemons, Key, /*BelowLimitOnly=*/false);
   return D;
 }
 
-std::uint32_t Allocator::heaviest(const std::vector<std::uint32_t> &Candidates,
-                                  std::uint64_t Key,
-                                  bool BelowLimitOnly) const {
-  std::uint32_t Best = Nobody;
+std::uint32_t
+Allocator::highestWeight(const std::vector<std::uint32_t> &Candidates,
+                         std::uint64_t Key, bool BelowLimitOnly) const {
+  std::uint32_t Best = NoDaemon;
   std::uint64_t BestWeight = 0;
   for (std::uint32_t D : Candidates) {
     if (HasRemainder[D] == ServiceNumber)
@@ -245,7 +248,7 @@
     if (BelowLimitOnly && Load[D] >= LoadLimit[D])
       continue;
     std::uint64_t W = weight(Key, Hash[D]);
-    if (Best != Nobody && W <= BestWeight)
+    if (Best != NoDaemon && W <= BestWeight)
       continue;
     Best = D;
     BestWeight = W;
@@ -253,9 +256,9 @@
   return Best;
 }
 
-void Allocator::give(std::size_t U, std::uint32_t Daemon) {
-  --Left[U];
-  for (Part &P : Allocated[U])
+void Allocator::assignSlot(std::size_t U, std::uint32_t Daemon) {
+  --Unallocated[U];
+  for (Assignment &P : Allocated[U])
     if (P.Daemon == Daemon) {
       ++P.Slots;
       return;
@@ -263,9 +266,10 @@
   Allocated[U].push_back({Daemon, 1});
 }
 
-/// Slots and one spare connection, so that one can be replaced without losing
-/// a slot for the time of its handshake. The parts add up to no more than the
-/// upstream's connections, because each is its proportional part rounded down.
+/// One connection per slot and a spare, so that a connection can be replaced
+/// without losing a slot during the handshake. The shares never exceed the
+/// upstream's connections in total, because each is at most its proportion
+/// rounded down.
 unsigned connectionsFor(unsigned Slots, const UpstreamFields &U) {
   return std::min(Slots + 1, Slots * U.Connections / U.Slots);
 }
@@ -277,18 +281,19 @@
   SlotAllocation A;
   A.ViewNumber = V.Number;
   A.Generation = C.generation();
-  auto Members = std::make_shared<const std::vector<Member>>(dealtMembers(V));
+  auto Members =
+      std::make_shared<const std::vector<Member>>(eligibleMembers(V));
   A.Members = Members;
   if (Members->empty())
     return A;
   std::vector<AllocatedService> Services = servicesInOrder(C);
   Allocator D(*Members, Services);
   for (const AllocatedService &S : Services) {
-    const std::vector<Parts> &Allocated = D.allocate(*S.Svc);
+    const std::vector<Assignments> &Allocated = D.allocate(*S.Svc);
     for (std::size_t U = 0; U < Allocated.size(); ++U) {
       const UpstreamFields &Up = *(*S.Svc)->Upstreams[U];
       auto First = static_cast<std::uint32_t>(A.All.size());
-      for (const Part &P : Allocated[U]) {
+      for (const Assignment &P : Allocated[U]) {
         Holder H{&(*Members)[P.Daemon], P.Slots, connectionsFor(P.Slots, Up)};
         A.All.push_back(H);
         if (H.Daemon->Id == Self)
--- a/packages/limits/SlotAllocation.h
+++ b/packages/limits/SlotAllocation.h
@@ -1,24 +1,26 @@
 //===- SlotAllocation.h - Upstream slots held by each daemon ----*- C++ -*-===//
 //
-// Slots and connections of an upstream are limits on the whole fleet. Every
-// daemon allocates all of them by the same pure function of the configuration
-// and its picture of the fleet, so no coordinator is asked and daemons with the
-// same picture agree. A daemon that holds a slot sends to the upstream itself;
-// any other relays through a holder.
+// The slots and connections of an upstream are limits on the whole fleet. Every
+// daemon computes the allocation of all of them by the same pure function of
+// the configuration and its view of the fleet, so no coordinator is needed and
+// daemons with the same view agree. A daemon that holds a slot sends to the
+// upstream itself; any other relays through a holder.
 //
 // The allocation, service by service:
-//   1. With at least as many slots as daemons each daemon gets the same whole
-//      number of slots, of upstreams in its own availability zone first.
-//   2. Each slot that is left goes to the daemon of highest rendezvous weight
-//      that has none of the remainder yet, in the upstream's availability zone
-//      if one there is below its load limit, else anywhere. Load limits
-//      (LoadHeadroom) keep the fleet balanced over all services.
+//   1. If there are at least as many slots as daemons, each daemon gets the
+//      same whole number of slots, preferably of upstreams in its own
+//      availability zone.
+//   2. Each remaining slot goes to the daemon with the highest rendezvous
+//      weight that has none of the remainder yet: in the upstream's
+//      availability zone if a daemon there is below its load limit, otherwise
+//      anywhere. Load limits (LoadHeadroom) balance the fleet over all
+//      services.
 //
 // The weight depends on the host and not on the incarnation, so a restarted
-// daemon gets the same slots back. Holders near the upstream fail together with
-// it, so a lost zone takes no capacity away from the others.
+// daemon gets the same slots back. Holders in the upstream's zone fail together
+// with it, so the loss of a zone takes no capacity from the others.
 //
-// Two daemons may hold different pictures for a while: HandoverGuard.h.
+// Daemons may have different views for a while; see HandoverGuard.h.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_SLOTALLOCATION_H
@@ -33,16 +35,17 @@
 
 namespace shallot {
 
-/// How far above the mean a daemon's slots over all services may lie before
-/// the remainder goes to the next in weight. Lower is better balanced, but one
-/// change of the fleet then moves more slots (docs/design/limits.md).
+/// A daemon's load limit as a multiple of the mean number of slots per daemon
+/// over all services; above it the remainder goes to the next daemon by weight.
+/// A lower value balances better, but each change of the fleet then moves more
+/// slots (docs/design/limits.md).
 inline constexpr double LoadHeadroom = 1.25;
 
-/// One daemon's part of an upstream.
+/// One daemon's share of an upstream.
 struct Share {
-  unsigned Slots = 0; ///< Requests at a time.
-  /// Slots and one spare, as far as the fair part of the upstream's connections
-  /// (Slots / its slots, rounded down) goes.
+  unsigned Slots = 0; ///< Maximum concurrent requests.
+  /// Slots and one spare, but at most the share's proportion of the upstream's
+  /// connections, rounded down.
   unsigned Connections = 0;
 
   friend bool operator==(const Share &, const Share &) = default;
@@ -58,33 +61,34 @@
 
 class SlotAllocation {
 public:
-  /// Nobody holds anything.
+  /// An allocation without holders.
   SlotAllocation() = default;
 
-  /// Allocates every upstream of \p C to the members of \p V that take new
-  /// work. Of two incarnations of one host only the later counts. \p Self need
-  /// not be a member; it then holds nothing.
+  /// Allocates the slots of every upstream of \p C to the members of \p V that
+  /// take new work. Of several incarnations of a host only the latest counts.
+  /// \p Self need not be a member; it then holds nothing.
   static SlotAllocation make(const Config &C, const FleetView &V,
                              const DaemonId &Self);
 
-  /// The holders of an upstream; empty when it is unknown or nobody takes new
-  /// work. The sum of their Slots is the upstream's Slots, the sum of their
-  /// Connections at most its Connections.
+  /// The holders of an upstream; empty if it is unknown or no member takes new
+  /// work. Their Slots add up to the upstream's Slots, their Connections to at
+  /// most its Connections.
   std::span<const Holder> holders(const UpstreamId &Id) const;
 
-  /// What this daemon holds of an upstream; nothing by default.
+  /// This daemon's share of an upstream; empty if it holds none.
   Share heldBySelf(const UpstreamId &Id) const;
 
-  /// All that this daemon holds.
+  /// All shares of this daemon.
   const std::unordered_map<UpstreamId, Share> &heldBySelf() const {
     return Own;
   }
 
-  /// The FleetView::Number and generation that it was computed from.
+  /// The FleetView::Number and the configuration's generation that the
+  /// allocation was computed from.
   std::uint64_t viewNumber() const { return ViewNumber; }
   std::uint64_t generation() const { return Generation; }
 
-  /// Bytes held, estimated from the tables' sizes; names are counted.
+  /// Estimated memory in bytes, including the heap of names.
   std::size_t memoryBytes() const;
 
 private:
--- a/packages/limits/SlotQueue.cpp
+++ b/packages/limits/SlotQueue.cpp
@@ -4,10 +4,10 @@
 
 AdmissionDecision SlotQueue::refusal(ResultCode Code) const {
   return AdmissionDecision::refuse(Code,
-                                   clampRetryAfter(waitBehind(Queue.size())));
+                                   clampRetryAfter(expectedWait(Queue.size())));
 }
 
-Duration SlotQueue::waitBehind(std::size_t Ahead) const {
+Duration SlotQueue::expectedWait(std::size_t Ahead) const {
   if (Slots == 0)
     return MaxRetryAfter;
   return ServiceTime.value() * static_cast<std::int64_t>(Ahead + 1) / Slots;
@@ -23,22 +23,22 @@
     return refusal(ResultCode::NoHolder);
   if (R.Deadline <= Now)
     return refusal(ResultCode::WouldMissDeadline);
-  // A free slot is always used, however long the typical request takes: a
-  // service time that refused everything would never be measured again.
+  // A free slot is always used, however long the typical service time: an
+  // estimate that led to refusing everything would never be measured again.
   if (InWork.size() < Slots && Queue.empty()) {
     InWork.insert(R.Id);
     return AdmissionDecision::start();
   }
   Key K{R.Priority, R.Deadline, Arrivals++, R.Id};
-  if (Now + waitBehind(aheadOf(K)) + ServiceTime.value() > R.Deadline)
+  if (Now + expectedWait(aheadOf(K)) + ServiceTime.value() > R.Deadline)
     return refusal(ResultCode::WouldMissDeadline);
-  if (Queue.size() >= MaxSlotWaiting && !makeRoom(R.Priority))
+  if (Queue.size() >= MaxSlotWaiting && !evictLowerPriority(R.Priority))
     return refusal(ResultCode::QueueFull);
   enqueue(K);
   return AdmissionDecision::wait();
 }
 
-bool SlotQueue::makeRoom(unsigned ForPriority) {
+bool SlotQueue::evictLowerPriority(unsigned ForPriority) {
   const Key &Worst = *Queue.rbegin();
   if (ForPriority >= Worst.Priority)
     return false;
@@ -83,7 +83,7 @@
   Out.swap(Displaced);
   if (Slots == 0)
     refuseAll(Out);
-  refuseHopeless(Now, Out);
+  refuseExpired(Now, Out);
   while (InWork.size() < Slots && !Queue.empty()) {
     TicketId Id = Queue.begin()->Id;
     remove(Id);
@@ -93,9 +93,9 @@
   return Out;
 }
 
-void SlotQueue::refuseHopeless(Instant Now, AdmissionEvents &Out) {
-  // What is refused here still has time left, so its sender can ask another
-  // upstream or tell the caller before the deadline.
+void SlotQueue::refuseExpired(Instant Now, AdmissionEvents &Out) {
+  // The requests refused here have time left, so the sender can try another
+  // upstream or answer the caller before the deadline.
   while (!ByDeadline.empty() &&
          ByDeadline.begin()->first < Now + ServiceTime.value()) {
     TicketId Id = ByDeadline.begin()->second;
@@ -125,7 +125,7 @@
   R.Slots = Slots;
   R.ServiceTime = ServiceTime.value();
   bool Free = InWork.size() < Slots && Queue.empty();
-  R.ExpectedWait = Free ? Duration{0} : waitBehind(Queue.size());
+  R.ExpectedWait = Free ? Duration{0} : expectedWait(Queue.size());
   return R;
 }
 
--- a/packages/limits/SlotQueue.h
+++ b/packages/limits/SlotQueue.h
@@ -1,12 +1,12 @@
-//===- SlotQueue.h - Waiting for a slot at its holder -----------*- C++ -*-===//
+//===- SlotQueue.h - Request queue of a slot holder -------------*- C++ -*-===//
 //
-// One for each upstream of which this daemon holds a slot. It lets at most the
-// share's slots work at a time, keeps a bounded number waiting, best priority
-// first and earliest deadline first among equals, and refuses a request at the
-// moment when its deadline can no longer be met instead of at the deadline.
+// A daemon has one queue per upstream of which it holds slots. The queue runs
+// at most as many requests as the share has slots and keeps a bounded number
+// waiting, ordered by priority and then by earliest deadline. It refuses a
+// request as soon as its deadline can no longer be met, not at the deadline.
 //
-// Its owner calls offer(), and done() or cancel() for what it started; after
-// each of them, and at nextExpiry(), it calls poll() and acts on the events.
+// The owner calls offer(), and done() or cancel() for started requests. After
+// each of these, and at nextExpiry(), it calls poll() and acts on the events.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_SLOTQUEUE_H
@@ -23,11 +23,12 @@
 
 namespace shallot {
 
-/// Requests that may wait for one upstream at one daemon. At 6 ms a request
-/// and one slot, 64 are 0.4 s of work: more would only miss their deadlines.
+/// Maximum number of requests that wait for one upstream at one daemon. With
+/// one slot and 6 ms per request, 64 requests are 0.4 s of work; more would
+/// miss their deadlines.
 inline constexpr std::size_t MaxSlotWaiting = 64;
 
-/// The service time assumed before the first reply was seen.
+/// Estimate of the service time before the first reply.
 inline constexpr Duration InitialServiceTime = Millis(5);
 
 struct SlotRequest {
@@ -36,13 +37,14 @@
   Instant Deadline;      ///< Of the caller's request.
 };
 
-/// Sent back with each reply, so that senders see the queue directly.
+/// State of the queue, sent with each reply so that senders can choose holders
+/// by it.
 struct SlotQueueReport {
   unsigned InWork = 0;
   unsigned Waiting = 0;
   unsigned Slots = 0;
-  Duration ServiceTime{0};  ///< Typical, as seen here.
-  Duration ExpectedWait{0}; ///< Of a request that came now.
+  Duration ServiceTime{0};  ///< Typical, as measured here.
+  Duration ExpectedWait{0}; ///< Of a request offered now.
 };
 
 class SlotQueue {
@@ -50,26 +52,26 @@
   SlotQueue() = default;
   explicit SlotQueue(Share S) : Slots(S.Slots) {}
 
-  /// Start, Wait, or Refuse with NoHolder (no slot here any more),
-  /// WouldMissDeadline or QueueFull. A better request takes the place of the
-  /// worst that waits; poll() then tells of that one.
+  /// Returns Start, Wait, or Refuse with NoHolder (no slot here any more),
+  /// WouldMissDeadline or QueueFull. If the queue is full, a request of better
+  /// priority evicts the last one, whose refusal the next poll() returns.
   AdmissionDecision offer(const SlotRequest &R, Instant Now);
 
-  /// A started request has ended, having taken \p Took at the upstream.
+  /// Reports that a started request has ended after \p Took at the upstream.
   void done(TicketId Id, Duration Took);
 
-  /// The owner wants no more of it. A waiting request leaves the queue without
-  /// an event; a started one frees its slot. False when it is not known.
+  /// Cancels a request. A waiting one is removed without an event, a started
+  /// one frees its slot. Returns false for an unknown id.
   bool cancel(TicketId Id);
 
-  /// A share from HandoverGuard. Work beyond a smaller share runs to its end
-  /// and is counted; with no slot left, all that wait are refused.
+  /// Sets the usable share (HandoverGuard). If it shrinks, running requests
+  /// continue and still count; without slots all waiting requests are refused.
   void setShare(Share S);
 
-  /// Starts and refusals that are due.
+  /// Returns the starts and refusals that are due.
   AdmissionEvents poll(Instant Now);
 
-  /// When poll() is next needed though nothing else happens.
+  /// When poll() must be called even if nothing else happens.
   std::optional<Instant> nextExpiry() const;
 
   SlotQueueReport report() const;
@@ -87,13 +89,13 @@
     }
   };
 
-  Duration waitBehind(std::size_t Ahead) const;
+  Duration expectedWait(std::size_t Ahead) const;
   std::size_t aheadOf(const Key &K) const;
   AdmissionDecision refusal(ResultCode Code) const;
-  bool makeRoom(unsigned ForPriority);
+  bool evictLowerPriority(unsigned ForPriority);
   void enqueue(const Key &K);
   void remove(TicketId Id);
-  void refuseHopeless(Instant Now, AdmissionEvents &Out);
+  void refuseExpired(Instant Now, AdmissionEvents &Out);
   void refuseAll(AdmissionEvents &Out);
 
   unsigned Slots = 0;
--- a/packages/limits/include/shallotshift/limits.h
+++ b/packages/limits/include/shallotshift/limits.h
@@ -1,12 +1,18 @@
-//===- shallotshift/limits.h - Who may send how much ------------*- C++ -*-===//
+//===- shallotshift/limits.h - Concurrency limits and budgets ---*- C++ -*-===//
 //
-// The public header of package limits. Fleet-wide caps without a coordinator:
-// who holds which slots (SlotAllocation.h), how slots change hands
-// (HandoverGuard.h), how shares of a bound in every window do (GrantedShare.h),
-// and who waits for one at its holder (SlotQueue.h). Overload at the entry:
-// admission by class (Admission.h) over an adaptive limit (ConcurrencyLimit.h),
-// budgets for hedges and retries (Budget.h) and the gradual return of an
-// upstream that shed work or started cold (SlowStart.h). No I/O, no clock.
+// The public header of package limits.
+//
+// Fleet-wide caps without a coordinator: allocation of upstream slots to
+// daemons (SlotAllocation.h), hand-over of slots when the fleet changes
+// (HandoverGuard.h), hand-over of shares of a rate limit (GrantedShare.h), and
+// the queue in front of a daemon's slots (SlotQueue.h).
+//
+// Overload control at the entry daemon: admission by class (Admission.h) under
+// an adaptive concurrency limit (ConcurrencyLimit.h), budgets for hedges and
+// retries (Budget.h), and slow start of an upstream that shed load or is cold
+// (SlowStart.h).
+//
+// The package does no I/O and reads no clock: callers pass the time in.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_H
