--- a/packages/limits/Admission.cpp
+++ b/packages/limits/Admission.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// A request may wait when its turn is expected within this part of its time
-/// in the queue. With all of it, every second one that waited would be refused
-/// in the end, because turns come late as often as early.
-constexpr double OfferMargin = 0.7;
+/// A request may wait if its expected wait is within this fraction of its time
+/// until expiry. With the whole time, half of the requests that wait would be
+/// refused in the end, because estimates are too low as often as too high.
+constexpr double MaxWaitFraction = 0.7;
 
-/// Part of the shortest deadline that sub-requests may wait for slots on
-/// average. More spends the time that stragglers need; less leaves slots idle
-/// (docs/design/limits.md has the figures).
-constexpr int DeadlineParts = 10;
+/// Sub-requests may wait for slots on average for the shortest deadline divided
+/// by this. A longer wait uses up the time that stragglers need, a shorter one
+/// leaves slots idle (figures in docs/design/limits.md).
+constexpr int QueuedDeadlineDivisor = 10;
 
-Duration secondsPer(double Rate) {
+Duration intervalOf(double Rate) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(1.0 / Rate));
 }
@@ -37,7 +37,7 @@
   Duration Shortest = MaxDeadline;
   for (const auto &[Class, Policy] : P->Classes)
     Shortest = std::min(Shortest, Policy.Deadline);
-  setClasses(P->Classes, Shortest / DeadlineParts);
+  setClasses(P->Classes, Shortest / QueuedDeadlineDivisor);
 }
 
 void Admission::setClasses(const ClassPolicies &Policies,
@@ -51,7 +51,7 @@
     Q.InPreset = true;
   }
   Limit.setTargetQueued(TargetQueued);
-  // Without waiting requests nothing keeps a class that is gone.
+  // Removed classes are kept only while requests wait in them.
   std::erase_if(Classes, [](const auto &Row) {
     return !Row.second.InPreset && Row.second.Waiting.empty();
   });
@@ -70,58 +70,59 @@
   auto It = Classes.find(R.Class);
   if (It == Classes.end() || !It->second.InPreset)
     return AdmissionDecision::refuse(ResultCode::UnknownClass, MinRetryAfter);
-  Latest = Now;
+  LastNow = Now;
   ClassQueue &Q = It->second;
-  Duration StartsIn = startsIn(Q, Q.Waiting.size());
+  Duration ExpectedWait = expectedWait(Q, Q.Waiting.size());
   if (R.Deadline <= Now)
     return AdmissionDecision::refuse(ResultCode::WouldMissDeadline,
-                                     clampRetryAfter(StartsIn));
-  // A free place is used whatever the typical latency says: a latency that
-  // refused everything would never be measured again.
-  if (mayStart() && WaitingIn.empty()) {
+                                     clampRetryAfter(ExpectedWait));
+  // Below the limit a request starts regardless of the typical latency: a
+  // latency that led to refusing everything would never be measured again.
+  if (mayStart() && WaitingPositions.empty()) {
     InFlight.emplace(R.Id, R.Class);
     return AdmissionDecision::start();
   }
   if (Q.Waiting.size() >= Q.Policy.QueueLimit)
     return AdmissionDecision::refuse(ResultCode::QueueFull,
-                                     clampRetryAfter(StartsIn));
+                                     clampRetryAfter(ExpectedWait));
   Waiter W = waiterFor(R, Q, Now);
-  if (toMillisF(StartsIn) > OfferMargin * toMillisF(W.Expires - Now))
+  if (toMillisF(ExpectedWait) > MaxWaitFraction * toMillisF(W.Expires - Now))
     return AdmissionDecision::refuse(
         W.ByDeadline ? ResultCode::WouldMissDeadline : ResultCode::Overloaded,
-        clampRetryAfter(StartsIn));
-  Q.Rate.waiting(true, Now);
+        clampRetryAfter(ExpectedWait));
+  Q.Rate.setWaiting(true, Now);
   std::uint64_t Arrival = Arrivals++;
   Q.Waiting[Arrival] = W;
   Q.Expiry.insert({W.Expires, Arrival});
-  WaitingIn[R.Id] = {&Q, Arrival};
+  WaitingPositions[R.Id] = {&Q, Arrival};
   return AdmissionDecision::wait();
 }
 
 Duration Admission::startInterval() const {
-  // Little's law: with all places taken, one ends in each of these.
+  // Little's law: at the limit, one request ends per interval.
   return Limit.typicalLatency() / static_cast<std::int64_t>(Limit.limit());
 }
 
-Duration Admission::startsIn(const ClassQueue &Q,
-                             std::size_t AheadInClass) const {
+Duration Admission::expectedWait(const ClassQueue &Q,
+                                 std::size_t AheadInClass) const {
   auto InClass = static_cast<std::int64_t>(AheadInClass + 1);
-  // Measured, when known: it contains the better requests still to come.
-  if (double Rate = Q.Rate.perSecond(Latest); Rate > 0)
-    return secondsPer(Rate) * InClass;
+  // A measured rate also accounts for requests of better priority that are
+  // still to arrive.
+  if (double Rate = Q.Rate.perSecond(LastNow); Rate > 0)
+    return intervalOf(Rate) * InClass;
   std::size_t Better = 0;
   for (const auto &[Class, Other] : Classes)
     if (&Other != &Q && Other.Policy.Priority <= Q.Policy.Priority)
       Better += Other.Waiting.size();
-  Duration Behind =
+  Duration BehindBetter =
       startInterval() * (static_cast<std::int64_t>(Better) + InClass);
-  Duration ByFloor =
+  Duration AtMinShare =
       startInterval() * static_cast<std::int64_t>(1 / MinClassShare) * InClass;
-  return std::min(Behind, ByFloor);
+  return std::min(BehindBetter, AtMinShare);
 }
 
 void Admission::done(TicketId Id, const LoadSample &S, Instant Now) {
-  Latest = Now;
+  LastNow = Now;
   std::size_t Before = InFlight.size();
   auto It = InFlight.find(Id);
   if (It == InFlight.end())
@@ -135,33 +136,34 @@
 bool Admission::cancel(TicketId Id) {
   if (InFlight.erase(Id) > 0)
     return true;
-  auto It = WaitingIn.find(Id);
-  if (It == WaitingIn.end())
+  auto It = WaitingPositions.find(Id);
+  if (It == WaitingPositions.end())
     return false;
-  take(*It->second.In, It->second.Arrival);
+  removeWaiter(*It->second.In, It->second.Arrival);
   return true;
 }
 
-Admission::Waiter Admission::take(ClassQueue &Q, std::uint64_t Arrival) {
+Admission::Waiter Admission::removeWaiter(ClassQueue &Q,
+                                          std::uint64_t Arrival) {
   auto It = Q.Waiting.find(Arrival);
   Waiter W = It->second;
   Q.Expiry.erase({W.Expires, Arrival});
   Q.Waiting.erase(It);
-  WaitingIn.erase(W.Id);
+  WaitingPositions.erase(W.Id);
   if (Q.Waiting.empty()) {
     Q.Credit = 0;
-    Q.Rate.waiting(false, Latest);
+    Q.Rate.setWaiting(false, LastNow);
   }
   return W;
 }
 
 AdmissionEvents Admission::poll(Instant Now) {
-  Latest = Now;
+  LastNow = Now;
   AdmissionEvents Out;
   for (auto &[Class, Q] : Classes) {
     if (!Q.InPreset)
       refuseUnknown(Q, Out);
-    refuseLate(Q, Now, Out);
+    refuseExpired(Q, Now, Out);
   }
   std::erase_if(Classes, [](const auto &Row) { return !Row.second.InPreset; });
   startWaiting(Out);
@@ -170,7 +172,7 @@
 
 void Admission::refuseUnknown(ClassQueue &Q, AdmissionEvents &Out) {
   while (!Q.Waiting.empty()) {
-    Waiter W = take(Q, Q.Waiting.begin()->first);
+    Waiter W = removeWaiter(Q, Q.Waiting.begin()->first);
     Out.push_back({W.Id, AdmissionDecision::refuse(ResultCode::UnknownClass,
                                                    MinRetryAfter)});
   }
@@ -178,21 +180,22 @@
 
 void Admission::refuse(ClassQueue &Q, std::uint64_t Arrival,
                        AdmissionEvents &Out) {
-  Duration StartsIn = startsIn(Q, Q.Waiting.size());
-  Waiter W = take(Q, Arrival);
+  Duration ExpectedWait = expectedWait(Q, Q.Waiting.size());
+  Waiter W = removeWaiter(Q, Arrival);
   ResultCode Code =
       W.ByDeadline ? ResultCode::WouldMissDeadline : ResultCode::Overloaded;
   Out.push_back(
-      {W.Id, AdmissionDecision::refuse(Code, clampRetryAfter(StartsIn))});
+      {W.Id, AdmissionDecision::refuse(Code, clampRetryAfter(ExpectedWait))});
 }
 
-void Admission::refuseLate(ClassQueue &Q, Instant Now, AdmissionEvents &Out) {
+void Admission::refuseExpired(ClassQueue &Q, Instant Now,
+                              AdmissionEvents &Out) {
   while (!Q.Expiry.empty() && Q.Expiry.begin()->first <= Now)
     refuse(Q, Q.Expiry.begin()->second, Out);
-  Q.Rate.roll(Now);
+  Q.Rate.update(Now);
   while (!Q.Waiting.empty()) {
     const auto &[Arrival, Last] = *Q.Waiting.rbegin();
-    if (Now + startsIn(Q, Q.Waiting.size() - 1) <= Last.Expires)
+    if (Now + expectedWait(Q, Q.Waiting.size() - 1) <= Last.Expires)
       return;
     refuse(Q, Arrival, Out);
   }
@@ -200,18 +203,18 @@
 
 Admission::ClassQueue *Admission::nextToStart() {
   ClassQueue *Best = nullptr;
-  bool BestOwed = false;
+  bool BestHasCredit = false;
   for (auto &[Class, Q] : Classes) {
     if (Q.Waiting.empty())
       continue;
-    bool Owed = Q.Credit >= 1;
-    bool Better =
-        !Best || (Owed && !BestOwed) ||
-        (Owed == BestOwed && Q.Policy.Priority < Best->Policy.Priority);
+    bool HasCredit = Q.Credit >= 1;
+    bool Better = !Best || (HasCredit && !BestHasCredit) ||
+                  (HasCredit == BestHasCredit &&
+                   Q.Policy.Priority < Best->Policy.Priority);
     if (!Better)
       continue;
     Best = &Q;
-    BestOwed = Owed;
+    BestHasCredit = HasCredit;
   }
   return Best;
 }
@@ -226,7 +229,7 @@
         Other.Credit += MinClassShare;
     Q->Credit = std::max(0.0, Q->Credit - 1);
     Q->Rate.started();
-    Waiter W = take(*Q, Q->Waiting.begin()->first);
+    Waiter W = removeWaiter(*Q, Q->Waiting.begin()->first);
     InFlight.emplace(W.Id, Q->Class);
     Out.push_back({W.Id, AdmissionDecision::start()});
   }
@@ -241,7 +244,8 @@
 }
 
 AdmissionReport Admission::report() const {
-  return {InFlight.size(), WaitingIn.size(), Limit.limit(), startInterval()};
+  return {InFlight.size(), WaitingPositions.size(), Limit.limit(),
+          startInterval()};
 }
 
 } // namespace shallot
--- a/packages/limits/Admission.h
+++ b/packages/limits/Admission.h
@@ -1,15 +1,16 @@
-//===- Admission.h - Which caller's request starts now ----------*- C++ -*-===//
+//===- Admission.h - Admission control by caller class ----------*- C++ -*-===//
 //
-// At the entry daemon, before any sub-request is sent. Requests start while
-// fewer than the adaptive limit are in flight; beyond it they wait in a bounded
-// queue of their class or are refused. The best priority goes first, but a
-// waiting class always gets a small part of the starts, so that routine work
-// is late and not starved.
+// Runs at the entry daemon, before any sub-request is sent. Requests start
+// while fewer than the adaptive limit are in flight; beyond it they wait in a
+// bounded queue of their class or are refused. The class of best priority
+// starts first, but every class with waiting requests gets a minimum share of
+// the starts, so that low-priority work is delayed and not starved.
 //
-// A request is refused as soon as its turn cannot come within its class's
-// QueueWait or before its deadline: on arrival in most cases, and later when
-// the limit falls or better requests come. It is never kept only to be refused.
-// Whatever is refused here was not run.
+// A request is refused as soon as it is expected not to start within its
+// class's QueueWait or before its deadline: on arrival in most cases, or later
+// when the limit falls or requests of better priority arrive. No request is
+// queued if it is already certain to be refused. A refused request has not been
+// executed.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_ADMISSION_H
@@ -27,8 +28,8 @@
 
 namespace shallot {
 
-/// The part of all starts that every class with waiting requests gets, however
-/// many better ones wait.
+/// The minimum fraction of all starts that every class with waiting requests
+/// gets, regardless of waiting requests of better priority.
 inline constexpr double MinClassShare = 0.05;
 
 struct AdmissionRequest {
@@ -37,46 +38,47 @@
   Instant Deadline;
 };
 
-/// The classes of requests and what each may wait.
+/// The classes of requests with their priorities and queue bounds.
 using ClassPolicies = std::map<CallerClass, ClassPolicy>;
 
-/// For metrics, explain and status.
+/// Current state for metrics, explain and status.
 struct AdmissionReport {
   std::size_t InFlight = 0;
   std::size_t Waiting = 0;
   std::size_t Limit = 0;
-  Duration StartInterval{0}; ///< Between two starts when all places are taken.
+  Duration StartInterval{0}; ///< Between two starts at the limit.
 };
 
 class Admission {
 public:
   explicit Admission(const Preset &P, ConcurrencyLimitOptions O = {});
-  /// With classes of the owner's own; \p TargetQueued is the wait for a slot
-  /// that is no sign of overload.
+  /// Uses explicit classes instead of a preset's. \p TargetQueued is the mean
+  /// wait for a slot up to which there is no overload.
   Admission(const ClassPolicies &Policies, Duration TargetQueued,
             ConcurrencyLimitOptions O = {});
 
-  /// Another preset is in force. Waiting requests of a class that is gone are
+  /// Applies another preset. Waiting requests of a class that it lacks are
   /// refused (UnknownClass) by the next poll().
   void setPreset(const Preset &P);
   void setClasses(const ClassPolicies &Policies, Duration TargetQueued);
 
-  /// Start, Wait, or Refuse with UnknownClass, QueueFull, Overloaded or
+  /// Returns Start, Wait, or Refuse with UnknownClass, QueueFull, Overloaded or
   /// WouldMissDeadline.
   AdmissionDecision offer(const AdmissionRequest &R, Instant Now);
 
-  /// A started request has ended.
+  /// Reports that a started request has ended.
   void done(TicketId Id, const LoadSample &S, Instant Now);
 
-  /// The caller is gone. A waiting request leaves without an event, a started
-  /// one frees its place. False when it is not known.
+  /// Reports that the caller is gone. A waiting request is removed without an
+  /// event, a started one no longer counts as in flight. Returns false for an
+  /// unknown id.
   bool cancel(TicketId Id);
 
-  /// Starts and refusals that are due; call it after done(), cancel() and
-  /// setPreset() and at nextExpiry().
+  /// Returns the starts and refusals that are due. Must be called after done(),
+  /// cancel() and setPreset() and at nextExpiry().
   AdmissionEvents poll(Instant Now);
 
-  /// When poll() is next needed though nothing else happens.
+  /// When poll() must be called even if nothing else happens.
   std::optional<Instant> nextExpiry() const;
 
   AdmissionReport report() const;
@@ -84,46 +86,46 @@
 private:
   struct Waiter {
     TicketId Id = 0;
-    Instant Expires;         ///< Its turn must have come.
-    bool ByDeadline = false; ///< Expires because of its deadline.
+    Instant Expires;         ///< Latest time to start.
+    bool ByDeadline = false; ///< Expires by its deadline, not by QueueWait.
   };
   struct ClassQueue {
     CallerClass Class;
     ClassPolicy Policy;
     bool InPreset = true;
-    double Credit = 0;                       ///< Towards its floor of starts.
+    double Credit = 0; ///< Grows by MinClassShare with each start.
     std::map<std::uint64_t, Waiter> Waiting; ///< By arrival.
     std::set<std::pair<Instant, std::uint64_t>> Expiry;
     internal::StartRate Rate;
-    /// From start to end. Each class has its own: at the slots the better ones
-    /// go first, so that a routine pull takes many times longer than a desk
-    /// check, and with one mean for all every desk check would seem hopeless.
+    /// From start to end, kept per class: slots serve better priorities first,
+    /// so a routine pull takes many times longer than a desk check. With one
+    /// mean for all classes every desk check would seem to miss its deadline.
     internal::ClippedMean Latency{Duration{0}};
   };
   using Queues = std::map<CallerClass, ClassQueue>;
-  struct Place {
+  struct QueuePosition {
     ClassQueue *In = nullptr;
     std::uint64_t Arrival = 0;
   };
 
   Waiter waiterFor(const AdmissionRequest &R, const ClassQueue &Q,
                    Instant Now) const;
-  Duration startsIn(const ClassQueue &Q, std::size_t AheadInClass) const;
+  Duration expectedWait(const ClassQueue &Q, std::size_t AheadInClass) const;
   Duration startInterval() const;
   bool mayStart() const { return InFlight.size() < Limit.limit(); }
-  Waiter take(ClassQueue &Q, std::uint64_t Arrival);
+  Waiter removeWaiter(ClassQueue &Q, std::uint64_t Arrival);
   ClassQueue *nextToStart();
   void startWaiting(AdmissionEvents &Out);
   void refuse(ClassQueue &Q, std::uint64_t Arrival, AdmissionEvents &Out);
-  void refuseLate(ClassQueue &Q, Instant Now, AdmissionEvents &Out);
+  void refuseExpired(ClassQueue &Q, Instant Now, AdmissionEvents &Out);
   void refuseUnknown(ClassQueue &Q, AdmissionEvents &Out);
 
   ConcurrencyLimit Limit;
   Queues Classes;
-  std::unordered_map<TicketId, Place> WaitingIn;
+  std::unordered_map<TicketId, QueuePosition> WaitingPositions;
   std::unordered_map<TicketId, CallerClass> InFlight;
   std::uint64_t Arrivals = 0;
-  Instant Latest; ///< The latest time that was told.
+  Instant LastNow; ///< The latest time passed in.
 };
 
 } // namespace shallot
--- a/packages/limits/AdmissionDecision.h
+++ b/packages/limits/AdmissionDecision.h
@@ -1,7 +1,8 @@
-//===- AdmissionDecision.h - Start, wait or be refused ----------*- C++ -*-===//
+//===- AdmissionDecision.h - Start, wait or refuse --------------*- C++ -*-===//
 //
-// What the queues of this package answer. Every entry ends in exactly one of
-// started, refused or cancelled; a verdict of Wait is followed by one of them.
+// The result of offering a request to a queue of this package. Every entry is
+// started, refused or cancelled exactly once; a decision of Wait is followed by
+// one of these.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_ADMISSIONDECISION_H
@@ -13,17 +14,17 @@
 
 namespace shallot {
 
-/// Names one entry of a queue; the owner of the queue chooses it and never
-/// uses one twice.
+/// Identifies one entry of a queue. Chosen by the owner of the queue and never
+/// reused.
 using TicketId = std::uint64_t;
 
 enum class AdmissionAction : std::uint8_t { Start, Wait, Refuse };
 
 struct AdmissionDecision {
   AdmissionAction What = AdmissionAction::Start;
-  /// With Refuse: a 2xxx code. Otherwise Ok.
+  /// For Refuse: a 2xxx code; otherwise Ok.
   ResultCode Code = ResultCode::Ok;
-  /// With Refuse: when it is worth coming back; 0: it is not.
+  /// For Refuse: when a retry may succeed; 0: a retry is pointless.
   Duration RetryAfter{0};
 
   static AdmissionDecision start() { return {}; }
@@ -38,7 +39,7 @@
                          const AdmissionDecision &) = default;
 };
 
-/// The end of an entry that waited: Start or Refuse.
+/// The final decision for an entry that waited: Start or Refuse.
 struct AdmissionEvent {
   TicketId Id = 0;
   AdmissionDecision Final;
@@ -49,12 +50,12 @@
 
 using AdmissionEvents = std::vector<AdmissionEvent>;
 
-/// Bounds of every RetryAfter: sooner would come back into the same overload,
-/// later would keep callers away after it has passed.
+/// Bounds of every RetryAfter. An earlier retry would hit the same overload, a
+/// later one would keep callers away after it has passed.
 inline constexpr Duration MinRetryAfter = Millis(100);
 inline constexpr Duration MaxRetryAfter = Seconds(10);
 
-/// \p D within the bounds above.
+/// Clamps \p D to [MinRetryAfter, MaxRetryAfter].
 inline Duration clampRetryAfter(Duration D) {
   return D < MinRetryAfter ? MinRetryAfter
                            : (D > MaxRetryAfter ? MaxRetryAfter : D);
--- a/packages/limits/Budget.cpp
+++ b/packages/limits/Budget.cpp
@@ -35,13 +35,14 @@
                               double HedgePercent, double RetryPercent) {
   auto Key = std::make_pair(T, C);
   auto It = Rows.find(Key);
-  // Tenants and classes come from the configuration, so the table is small; a
-  // fault that made names without end would share one budget and not memory.
+  // Tenants and classes come from the configuration, so the table is small. A
+  // fault that created unlimited names would share one budget instead of
+  // exhausting memory.
   if (It == Rows.end() && Rows.size() < MaxBudgetRows)
     It = Rows.try_emplace(
                  Key, ExtraBudgets{Budget(HedgePercent), Budget(RetryPercent)})
              .first;
-  ExtraBudgets &Row = It == Rows.end() ? Rest : It->second;
+  ExtraBudgets &Row = It == Rows.end() ? Overflow : It->second;
   Row.Hedges.setPercent(HedgePercent);
   Row.Retries.setPercent(RetryPercent);
   return Row;
--- a/packages/limits/Budget.h
+++ b/packages/limits/Budget.h
@@ -1,8 +1,8 @@
-//===- Budget.h - Extra work as a part of the normal work -------*- C++ -*-===//
+//===- Budget.h - Token budgets for hedges and retries ----------*- C++ -*-===//
 //
 // Hedges and retries multiply load exactly when there is too much of it. Each
-// spends from a budget that only first sub-requests fill, so that extra work
-// stays a fixed part of normal work whatever fails.
+// takes a token from a budget that only first sub-requests refill, so that
+// extra work stays a fixed fraction of normal work whatever fails.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_BUDGET_H
@@ -16,29 +16,33 @@
 
 namespace shallot {
 
-/// Tokens that a budget starts with, so that a class with little traffic can
-/// retry at all.
+/// Tokens in a new budget, so that a class with little traffic can retry at
+/// all.
 inline constexpr double InitialTokens = 3;
 
-/// The most that can be saved up. More would let a quiet hour pay for a storm.
+/// Maximum balance. A higher one would let the tokens of a quiet hour fund a
+/// retry storm.
 inline constexpr double MaxBalance = 20;
 
 class Budget {
 public:
-  /// Spends up to \p Percent of the base events. 0: nothing, no floor either.
+  /// Allows extra requests up to \p Percent of the first sub-requests. With 0
+  /// none is allowed and the budget starts empty.
   explicit Budget(double Percent = 0);
 
-  /// \p N first sub-requests were sent.
+  /// Records that \p N first sub-requests were sent.
   void earn(std::size_t N = 1);
 
-  /// Takes one token if there is one. Over any time the spends are at most
-  /// Percent of the base events of that time plus MaxBalance.
+  /// Takes one token if there is one. Over any period at most Percent of the
+  /// first sub-requests in it plus MaxBalance tokens are taken.
   bool trySpend();
 
-  /// Gives a token back: the extra request was not sent after all.
+  /// Returns the token of an extra request that was not sent.
   void refund();
 
-  /// Another preset: the balance is kept within the new bounds.
+  /// Applies another preset's percentage. The balance is kept, except that a
+  /// budget that was 0 starts with InitialTokens and one that becomes 0 is
+  /// emptied.
   void setPercent(double P);
 
   double balance() const { return Tokens; }
@@ -55,19 +59,20 @@
   Budget Retries;
 };
 
-/// Tenants times classes that are remembered; beyond it all share one more.
+/// Maximum number of pairs of tenant and class with budgets of their own; all
+/// others share one.
 inline constexpr std::size_t MaxBudgetRows = 1024;
 
 class BudgetTable {
 public:
-  /// The budgets of a tenant and class, made with these percentages when new
-  /// and brought to them when they have changed.
+  /// The budgets of a tenant and class. Created on first use; the percentages
+  /// are applied on every call.
   ExtraBudgets &of(const Tenant &T, const CallerClass &C, double HedgePercent,
                    double RetryPercent);
 
 private:
   std::map<std::pair<Tenant, CallerClass>, ExtraBudgets> Rows;
-  ExtraBudgets Rest;
+  ExtraBudgets Overflow;
 };
 
 } // namespace shallot
--- a/packages/limits/ClippedMean.h
+++ b/packages/limits/ClippedMean.h
@@ -1,8 +1,8 @@
-//===- ClippedMean.h - A typical duration, stragglers aside -----*- C++ -*-===//
+//===- ClippedMean.h - Moving average with clipped outliers -----*- C++ -*-===//
 //
-// A smoothed mean in which one straggler counts as at most a few typical
-// values. Without that, one reply in a hundred that is 30 times slower makes
-// the queues refuse requests that would have been in time.
+// An exponentially weighted moving average that clips each value to a small
+// multiple of the mean. Without clipping, one reply in a hundred that is 30
+// times slower makes the queues refuse requests that would have been in time.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_CLIPPEDMEAN_H
@@ -16,24 +16,24 @@
 
 class ClippedMean {
 public:
-  /// \p Initial is assumed until the first value; 0: the first value counts
-  /// whole. \p Parts: the newest value has a weight of 1 / Parts.
-  explicit ClippedMean(Duration Initial, int Parts = 8)
-      : Mean(Initial), Parts(Parts) {}
+  /// \p Initial is the mean before the first value; if it is 0, the mean starts
+  /// at the first value. The newest value has the weight 1 / \p InverseWeight.
+  explicit ClippedMean(Duration Initial, int InverseWeight = 8)
+      : Mean(Initial), InverseWeight(InverseWeight) {}
 
   void add(Duration D) {
     if (Mean == Duration{0})
       Mean = D;
-    Mean += (std::min(D, Mean * Clip) - Mean) / Parts;
+    Mean += (std::min(D, Mean * ClipFactor) - Mean) / InverseWeight;
   }
 
   Duration value() const { return Mean; }
 
 private:
-  static constexpr int Clip = 3;
+  static constexpr int ClipFactor = 3;
 
   Duration Mean;
-  int Parts;
+  int InverseWeight;
 };
 
 } // namespace shallot::internal
--- a/packages/limits/ConcurrencyLimit.cpp
+++ b/packages/limits/ConcurrencyLimit.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// The limit rises only when this part of it was used: a limit that nobody
-/// reaches would otherwise grow without any evidence for it.
-constexpr double UsedPart = 0.8;
+/// The limit rises only if at least this fraction of it was in use. An unused
+/// limit would otherwise grow without evidence that the fleet can serve it.
+constexpr double MinUtilization = 0.8;
 
 } // namespace
 
@@ -25,7 +25,7 @@
       std::clamp(2 * Typical.value(), Opts.Window, Opts.MaxWindow);
   if (Now - WindowStart < Length || Samples < MinLimitSamples)
     return;
-  step();
+  adjust();
   openWindow(Now);
 }
 
@@ -35,14 +35,15 @@
   return Overloads > Opts.TargetOverloaded * Samples;
 }
 
-void ConcurrencyLimit::step() {
+void ConcurrencyLimit::adjust() {
   if (overloaded()) {
     SteppedDown = true;
-    Lim *= Opts.Decrease;
-  } else if (static_cast<double>(MaxInFlight) >= UsedPart * Lim) {
-    Lim = SteppedDown ? Lim + Opts.Increase : Lim * Opts.FirstIncrease;
+    Current *= Opts.Decrease;
+  } else if (static_cast<double>(MaxInFlight) >= MinUtilization * Current) {
+    Current =
+        SteppedDown ? Current + Opts.Increase : Current * Opts.FirstIncrease;
   }
-  Lim = std::clamp(Lim, Opts.Min, Opts.Max);
+  Current = std::clamp(Current, Opts.Min, Opts.Max);
 }
 
 void ConcurrencyLimit::openWindow(Instant Now) {
--- a/packages/limits/ConcurrencyLimit.h
+++ b/packages/limits/ConcurrencyLimit.h
@@ -1,11 +1,10 @@
-//===- ConcurrencyLimit.h - How many queries at a time ----------*- C++ -*-===//
+//===- ConcurrencyLimit.h - Adaptive concurrency limit ----------*- C++ -*-===//
 //
-// The number of queries that one entry daemon keeps in flight, found by
-// additive increase and multiplicative decrease (AIMD). The signal is queueing
-// as measured at the slots' holders and their refusals, not latency: one
-// straggler in a fan-out of 62 makes latency jump without any overload, while a
-// queue in front of slots is overload and nothing else
-// (docs/design/limits.md weighs the two).
+// Limits the queries that one entry daemon keeps in flight, by additive
+// increase and multiplicative decrease (AIMD). The signal is the queueing time
+// measured at the slots' holders and their refusals, not latency: one straggler
+// in a fan-out of 62 raises latency without any overload, whereas a queue in
+// front of slots always means overload (compared in docs/design/limits.md).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_CONCURRENCYLIMIT_H
@@ -15,9 +14,9 @@
 
 namespace shallot {
 
-/// What one finished query tells about load.
+/// The load signal of one finished query.
 struct LoadSample {
-  Duration Latency{0}; ///< From start to its end.
+  Duration Latency{0}; ///< From start to end.
   /// Mean wait of its sub-requests for a slot (SubReply::Queued).
   Duration Queued{0};
   /// A sub-request was refused for load, or the deadline passed.
@@ -28,48 +27,54 @@
   double Initial = 16;
   double Min = 2;
   double Max = 4096;
-  /// Mean wait for a slot that is no sign of overload: with a fan-out over few
-  /// slots some wait always. Admission sets it from the preset's deadlines.
+  /// Mean wait for a slot above which the fleet counts as overloaded. Not zero:
+  /// with a fan-out over few slots some sub-requests always wait. Admission
+  /// derives it from the preset's deadlines.
   Duration TargetQueued = Millis(20);
-  /// Share of overloaded queries in a window that is a sign of overload.
+  /// Fraction of overloaded queries in a window above which the fleet counts as
+  /// overloaded.
   double TargetOverloaded = 0.02;
-  /// At most one step is made in this time, and in two typical latencies: what
-  /// is seen sooner started before the last step.
+  /// At most one step is made in this time and in two typical latencies.
+  /// Queries that end sooner started before the last step and do not reflect
+  /// it.
   Duration Window = Millis(50);
-  /// Waiting longer would keep a limit that is far too high for many seconds.
+  /// Maximum length of a window. A longer one would keep a limit that is far
+  /// too high for many seconds.
   Duration MaxWindow = Millis(250);
-  double Increase = 1;   ///< Added by a step up.
+  double Increase = 1;   ///< Additive step up.
   double Decrease = 0.9; ///< Factor of a step down.
   double FirstIncrease =
-      1.5; ///< Factor of a step up before the first one down.
+      1.5; ///< Factor of a step up until the first step down.
 };
 
-/// Fewer samples in a window prove nothing.
+/// Minimum samples in a window; fewer are not significant.
 inline constexpr unsigned MinLimitSamples = 8;
 
 class ConcurrencyLimit {
 public:
   explicit ConcurrencyLimit(ConcurrencyLimitOptions O = {})
-      : Opts(O), Lim(O.Initial) {}
+      : Opts(O), Current(O.Initial) {}
 
-  /// A query ended at \p Now; with it \p InFlight were in flight.
+  /// Records that a query ended at \p Now. \p InFlight queries, including this
+  /// one, were in flight.
   void observe(const LoadSample &S, std::size_t InFlight, Instant Now);
 
   void setTargetQueued(Duration D) { Opts.TargetQueued = D; }
 
-  /// Queries that may be in flight.
-  std::size_t limit() const { return static_cast<std::size_t>(Lim); }
+  /// The maximum number of queries in flight.
+  std::size_t limit() const { return static_cast<std::size_t>(Current); }
 
-  /// Smoothed latency; single stragglers count for little. 0: none seen.
+  /// Smoothed latency, robust against single stragglers; 0 before the first
+  /// sample.
   Duration typicalLatency() const { return Typical.value(); }
 
 private:
   bool overloaded() const;
-  void step();
+  void adjust();
   void openWindow(Instant Now);
 
   ConcurrencyLimitOptions Opts;
-  double Lim;
+  double Current;
   internal::ClippedMean Typical{Duration{0}, 16};
   bool SteppedDown = false;
   bool WindowOpen = false;
--- a/packages/limits/SlowStart.cpp
+++ b/packages/limits/SlowStart.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// \p D to twice \p D. Without it all daemons that saw one overload would come
-/// back at one moment and cause the next.
+/// A random duration from \p D to twice \p D. Without jitter all daemons that
+/// saw an overload would return at the same moment and cause the next.
 Duration jittered(Duration D, Random &Rng) {
   double Factor = 1 + uniform01(Rng);
   return fromMillisF(toMillisF(D) * Factor);
@@ -16,35 +16,36 @@
 } // namespace
 
 void SlowStart::shed(Instant Now, Duration RetryAfter, Random &Rng) {
-  if (Signed && Now - LastSign < SignInterval)
+  if (Reduced && Now - LastSignal < ShedSignalInterval)
     return;
-  dropTo(weight(Now) * ShedFactor, Now, std::max(RestTime, RetryAfter), Rng);
+  reduceTo(weight(Now) * ShedFactor, Now,
+           std::max(SlowStartHoldTime, RetryAfter), Rng);
 }
 
 void SlowStart::cold(Instant Now, Random &Rng) {
-  // A cold upstream says so in every reply; each one taken as a new sign would
-  // keep it cold for good.
+  // A cold upstream says so in every reply. If each one counted as a new
+  // signal, its weight would never rise.
   if (weight(Now) < 1)
     return;
-  dropTo(ColdWeight, Now, Duration{0}, Rng);
+  reduceTo(ColdWeight, Now, Duration{0}, Rng);
 }
 
-void SlowStart::dropTo(double NewWeight, Instant Now, Duration Rest,
-                       Random &Rng) {
-  Signed = true;
-  LastSign = Now;
-  Low = std::clamp(NewWeight, MinWeight, 1.0);
-  ReturnAt = Now + jittered(Rest, Rng);
-  FullIn = jittered(ReturnTime, Rng);
+void SlowStart::reduceTo(double NewWeight, Instant Now, Duration Hold,
+                         Random &Rng) {
+  Reduced = true;
+  LastSignal = Now;
+  StartWeight = std::clamp(NewWeight, MinWeight, 1.0);
+  RampStart = Now + jittered(Hold, Rng);
+  RampDuration = jittered(SlowStartRampTime, Rng);
 }
 
 double SlowStart::weight(Instant Now) const {
-  if (!Signed)
+  if (!Reduced)
     return 1;
-  if (Now <= ReturnAt)
-    return Low;
-  double Part = toMillisF(Now - ReturnAt) / toMillisF(FullIn);
-  return std::min(1.0, Low + Part * (1 - MinWeight));
+  if (Now <= RampStart)
+    return StartWeight;
+  double Progress = toMillisF(Now - RampStart) / toMillisF(RampDuration);
+  return std::min(1.0, StartWeight + Progress * (1 - MinWeight));
 }
 
 bool SlowStart::admits(Instant Now, Random &Rng) const {
--- a/packages/limits/SlowStart.h
+++ b/packages/limits/SlowStart.h
@@ -1,9 +1,10 @@
-//===- SlowStart.h - The gradual return of an upstream ----------*- C++ -*-===//
+//===- SlowStart.h - Gradual increase of an upstream's load -----*- C++ -*-===//
 //
-// An upstream that sheds work or is cold gets less: its weight falls by half
-// with each sign, and after a rest returns to 1 step by step. Every daemon
-// draws its own rest and pace, because many daemons that come back at the same
-// moment are the overload that made the upstream shed.
+// An upstream that sheds load or is cold gets less work. Each time it sheds,
+// its weight is halved, and after a hold time it rises linearly to 1; a cold
+// upstream starts at ColdWeight without a hold time. Every daemon draws random
+// hold and ramp times, because many daemons that return at the same moment
+// would repeat the overload that made the upstream shed.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_SLOWSTART_H
@@ -13,41 +14,44 @@
 
 namespace shallot {
 
-inline constexpr double MinWeight = 0.05; ///< Enough to see that it is back.
+inline constexpr double MinWeight = 0.05; ///< Enough to notice its recovery.
 inline constexpr double ShedFactor = 0.5;
 inline constexpr double ColdWeight = 0.1;
-/// Signs within this time are one sign: the replies to one burst.
-inline constexpr Duration SignInterval = Millis(100);
-/// The rest before the return starts: this long to twice as long, more when
-/// the upstream said Retry-After.
-inline constexpr Duration RestTime = Seconds(1);
-/// From MinWeight to 1: this long to twice as long.
-inline constexpr Duration ReturnTime = Seconds(10);
+/// Signals within this time count once: they are the replies to one burst.
+inline constexpr Duration ShedSignalInterval = Millis(100);
+/// Minimum hold time before the weight rises, longer if the upstream sent
+/// Retry-After. The actual time is random, up to twice as long.
+inline constexpr Duration SlowStartHoldTime = Seconds(1);
+/// Minimum time for the rise from MinWeight to 1. The actual time is random, up
+/// to twice as long.
+inline constexpr Duration SlowStartRampTime = Seconds(10);
 
 class SlowStart {
 public:
-  /// It refused work for load, and perhaps said when to come back.
+  /// Records that the upstream shed load. \p RetryAfter is its Retry-After, 0
+  /// if it sent none.
   void shed(Instant Now, Duration RetryAfter, Random &Rng);
 
-  /// It said that it is cold. Does not prolong a return that is under way.
+  /// Records that the upstream reported to be cold. Has no effect while the
+  /// weight is below 1.
   void cold(Instant Now, Random &Rng);
 
-  /// Its part of the normal work, MinWeight to 1.
+  /// The fraction of normal load to send, MinWeight to 1.
   double weight(Instant Now) const;
 
-  /// True with the probability weight().
+  /// Returns true with probability weight().
   bool admits(Instant Now, Random &Rng) const;
 
   bool recovered(Instant Now) const { return weight(Now) >= 1; }
 
 private:
-  void dropTo(double NewWeight, Instant Now, Duration Rest, Random &Rng);
+  void reduceTo(double NewWeight, Instant Now, Duration Hold, Random &Rng);
 
-  double Low = 1;     ///< Weight at the start of the return.
-  Instant ReturnAt;   ///< The return starts.
-  Duration FullIn{0}; ///< From MinWeight to 1.
-  Instant LastSign;
-  bool Signed = false;
+  double StartWeight = 1; ///< Weight at the start of the ramp.
+  Instant RampStart;
+  Duration RampDuration{0}; ///< From MinWeight to 1.
+  Instant LastSignal;
+  bool Reduced = false;
 };
 
 } // namespace shallot
--- a/packages/limits/StartRate.cpp
+++ b/packages/limits/StartRate.cpp
@@ -4,41 +4,42 @@
 
 namespace {
 
-/// Fewer starts make a rate too rough to refuse by, unless they took long.
-constexpr unsigned EnoughStarts = 8;
-constexpr Duration EnoughTime = Seconds(1);
-constexpr double Smoothing = 0.3; ///< Weight of the newest.
-constexpr Duration Memory = Seconds(3);
+/// Minimum number of starts, or else minimum time, for a rate precise enough to
+/// refuse requests by it.
+constexpr unsigned MinStarts = 8;
+constexpr Duration MinBusyTime = Seconds(1);
+constexpr double Smoothing = 0.3; ///< Weight of the newest value.
+constexpr Duration MaxRateAge = Seconds(3);
 
 } // namespace
 
-void StartRate::waiting(bool Some, Instant Now) {
-  if (Some == Busy)
+void StartRate::setWaiting(bool AnyWaiting, Instant Now) {
+  if (AnyWaiting == Busy)
     return;
-  roll(Now);
-  Busy = Some;
-  Since = Now;
+  update(Now);
+  Busy = AnyWaiting;
+  BusySince = Now;
 }
 
-void StartRate::roll(Instant Now) {
+void StartRate::update(Instant Now) {
   if (Busy) {
-    BusyTime += Now - Since;
-    Since = Now;
+    BusyTime += Now - BusySince;
+    BusySince = Now;
   }
-  bool Enough = Starts >= EnoughStarts && BusyTime > Duration{0};
-  if (!Enough && BusyTime < EnoughTime)
+  bool Enough = Starts >= MinStarts && BusyTime > Duration{0};
+  if (!Enough && BusyTime < MinBusyTime)
     return;
-  double Seen = Starts / (toMillisF(BusyTime) / 1000);
-  bool Fresh = Known && Now - RolledAt <= Memory;
-  Rate = Fresh ? Rate + Smoothing * (Seen - Rate) : Seen;
+  double Measured = Starts / (toMillisF(BusyTime) / 1000);
+  bool Fresh = Known && Now - UpdatedAt <= MaxRateAge;
+  Rate = Fresh ? Rate + Smoothing * (Measured - Rate) : Measured;
   Known = true;
-  RolledAt = Now;
+  UpdatedAt = Now;
   Starts = 0;
   BusyTime = Duration{0};
 }
 
 double StartRate::perSecond(Instant Now) const {
-  return Known && Now - RolledAt <= Memory ? Rate : 0;
+  return Known && Now - UpdatedAt <= MaxRateAge ? Rate : 0;
 }
 
 } // namespace shallot::internal
--- a/packages/limits/StartRate.h
+++ b/packages/limits/StartRate.h
@@ -1,8 +1,9 @@
-//===- StartRate.h - How fast the waiting of one class start ----*- C++ -*-===//
+//===- StartRate.h - Rate at which queued requests start --------*- C++ -*-===//
 //
-// Measured only while some wait, because only then it says how fast a queue
-// moves. It contains what no look at the queues can tell: the better requests
-// that are still to come.
+// Measures how many requests of one class start per second, only while some of
+// them wait: only then is it the rate at which the queue drains. Unlike an
+// estimate from queue lengths, it accounts for requests of better priority that
+// are still to arrive.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_STARTRATE_H
@@ -14,25 +15,25 @@
 
 class StartRate {
 public:
-  /// The queue is empty no longer, or again.
-  void waiting(bool Some, Instant Now);
-  /// One that waited has started.
+  /// Reports whether any request waits in the queue.
+  void setWaiting(bool AnyWaiting, Instant Now);
+  /// Records that a waiting request has started.
   void started() { ++Starts; }
-  /// Brings the rate up to date.
-  void roll(Instant Now);
+  /// Updates the rate if there is enough data for a new value.
+  void update(Instant Now);
 
-  /// 0 when it is not known or too long ago: an old rate must not refuse
-  /// requests for good after the overload is over.
+  /// The rate, or 0 if it is unknown or outdated: an old rate must not cause
+  /// refusals after the overload is over.
   double perSecond(Instant Now) const;
 
 private:
   bool Busy = false;
   bool Known = false;
-  Instant Since;
+  Instant BusySince;
   Duration BusyTime{0};
   unsigned Starts = 0;
   double Rate = 0;
-  Instant RolledAt;
+  Instant UpdatedAt;
 };
 
 } // namespace shallot::internal
