--- a/packages/quarantine/Quarantine.cpp
+++ b/packages/quarantine/Quarantine.cpp
@@ -5,30 +5,30 @@
 
 namespace shallot {
 
-QuarantineRecord Quarantine::known(const Entry &E) {
+QuarantineRecord Quarantine::combined(const Entry &E) {
   return E.Shared && !E.Clear ? merged(E.Shared->Record, E.Own) : E.Own;
 }
 
 bool Quarantine::needsWrite(const Entry &E) {
   if (E.Clear)
     return E.Shared.has_value();
-  if (E.Shared && (E.GiveBack || E.RenewAt != 0))
+  if (E.Shared && (E.ReturnTrial || E.RenewAt != 0))
     return true;
   if (!E.Share)
     return false;
   if (!E.Shared)
     return E.Own.quarantineState() != QuarantineState::Clear;
-  // Neither the time nor other names of as many processes are worth a write.
-  QuarantineRecord All = known(E);
-  const QuarantineRecord &There = E.Shared->Record;
-  return All.Crashed.size() > There.Crashed.size() ||
-         All.Proven != There.Proven;
+  // A later time or different names of equally many processes cause no write.
+  QuarantineRecord All = combined(E);
+  const QuarantineRecord &Stored = E.Shared->Record;
+  return All.Crashed.size() > Stored.Crashed.size() ||
+         All.Proven != Stored.Proven;
 }
 
-/// What the store should have in place of Shared.
-QuarantineRecord Quarantine::wanted(const Entry &E) {
-  QuarantineRecord R = known(E);
-  if (E.GiveBack && R.Trials > 0)
+/// The record that should replace Shared in the store.
+QuarantineRecord Quarantine::recordToWrite(const Entry &E) {
+  QuarantineRecord R = combined(E);
+  if (E.ReturnTrial && R.Trials > 0)
     --R.Trials;
   if (E.RenewAt != 0) {
     R.Trials = 0;
@@ -37,14 +37,14 @@
   return R;
 }
 
-/// Brings Unwritten up to date with an entry that has changed, and forgets one
-/// that says nothing.
-void Quarantine::settle(Table::iterator At) {
+/// Updates PendingWrites after a change of an entry and erases the entry if it
+/// holds no evidence.
+void Quarantine::refreshEntry(Table::iterator At) {
   const Entry &E = At->second;
   if (needsWrite(E))
-    Unwritten.insert(At->first);
+    PendingWrites.insert(At->first);
   else
-    Unwritten.erase(At->first);
+    PendingWrites.erase(At->first);
   if (!E.Shared && E.Writes == 0 &&
       E.Own.quarantineState() == QuarantineState::Clear)
     Entries.erase(At);
@@ -53,14 +53,14 @@
 QuarantineState Quarantine::quarantineState(const RequestFingerprint &R) const {
   auto At = Entries.find(R);
   return At == Entries.end() ? QuarantineState::Clear
-                             : known(At->second).quarantineState();
+                             : combined(At->second).quarantineState();
 }
 
 unsigned Quarantine::crashesOf(const RequestFingerprint &R) const {
   auto At = Entries.find(R);
   if (At == Entries.end())
     return 0;
-  return static_cast<unsigned>(known(At->second).Crashed.size());
+  return static_cast<unsigned>(combined(At->second).Crashed.size());
 }
 
 void Quarantine::crashed(const QuarantineRecord &Seen) {
@@ -72,7 +72,7 @@
   } else {
     At->second.Own = merged(Seen, At->second.Own);
   }
-  settle(At);
+  refreshEntry(At);
 }
 
 void Quarantine::share(const RequestFingerprint &R) {
@@ -80,7 +80,7 @@
   if (At == Entries.end())
     return;
   At->second.Share = true;
-  settle(At);
+  refreshEntry(At);
 }
 
 void Quarantine::trialCrashed(const RequestFingerprint &R) {
@@ -89,15 +89,15 @@
     return;
   At->second.Own.Proven = true;
   At->second.Share = true;
-  settle(At);
+  refreshEntry(At);
 }
 
 void Quarantine::trialUnused(const RequestFingerprint &R) {
   auto At = Entries.find(R);
   if (At == Entries.end() || !At->second.Shared)
     return;
-  At->second.GiveBack = true;
-  settle(At);
+  At->second.ReturnTrial = true;
+  refreshEntry(At);
 }
 
 bool Quarantine::succeeded(const RequestFingerprint &R) {
@@ -108,7 +108,7 @@
   E.Own = QuarantineRecord{R};
   E.Share = false;
   E.Clear = E.Shared || E.Writes > 0;
-  settle(At);
+  refreshEntry(At);
   return true;
 }
 
@@ -117,8 +117,8 @@
   if (At == Entries.end())
     return;
   ++At->second.Writes;
-  At->second.GiveBack = false;
-  settle(At);
+  At->second.ReturnTrial = false;
+  refreshEntry(At);
 }
 
 void Quarantine::writeEnded(const RequestFingerprint &R) {
@@ -126,7 +126,7 @@
   if (At == Entries.end() || At->second.Writes == 0)
     return;
   --At->second.Writes;
-  settle(At);
+  refreshEntry(At);
 }
 
 void Quarantine::replaceAll(const std::vector<SharedRecord> &Now,
@@ -152,8 +152,8 @@
     return;
   SharedCount += !E.Shared;
   E.Shared = std::move(Now);
-  E.RenewAt = 0; // By whoever wrote it, or not called for any more.
-  settle(At);
+  E.RenewAt = 0; // Renewed by the writer, or no longer needed.
+  refreshEntry(At);
 }
 
 void Quarantine::remove(const RequestFingerprint &R, std::uint64_t Revision) {
@@ -166,35 +166,35 @@
   --SharedCount;
   E.Shared.reset();
   E.Own = QuarantineRecord{At->first};
-  E.Share = E.Clear = E.GiveBack = false;
+  E.Share = E.Clear = E.ReturnTrial = false;
   E.RenewAt = 0;
-  settle(At);
+  refreshEntry(At);
 }
 
-/// The record that gives way to another one: short of a proof before proven,
-/// then the oldest.
-std::optional<QuarantineWrite> Quarantine::makeRoom() const {
-  const SharedRecord *Least = nullptr;
+/// Evicts a record to make room for another: an unproven one if there is any,
+/// and the oldest of these.
+std::optional<QuarantineWrite> Quarantine::evictionWrite() const {
+  const SharedRecord *Victim = nullptr;
   auto Before = [](const QuarantineRecord &A, const QuarantineRecord &B) {
     return std::pair(A.Proven, A.SeenAt) < std::pair(B.Proven, B.SeenAt);
   };
   for (const auto &[Request, E] : Entries)
-    if (E.Shared && (!Least || Before(E.Shared->Record, Least->Record)))
-      Least = &*E.Shared;
-  if (!Least)
+    if (E.Shared && (!Victim || Before(E.Shared->Record, Victim->Record)))
+      Victim = &*E.Shared;
+  if (!Victim)
     return std::nullopt;
-  return QuarantineWrite{Least->Record, Least->Revision, true};
+  return QuarantineWrite{Victim->Record, Victim->Revision, true};
 }
 
 std::optional<QuarantineWrite> Quarantine::nextWrite() const {
-  if (Unwritten.empty())
+  if (PendingWrites.empty())
     return std::nullopt;
-  const Entry &E = Entries.at(*Unwritten.begin());
+  const Entry &E = Entries.at(*PendingWrites.begin());
   if (E.Clear)
     return QuarantineWrite{E.Shared->Record, E.Shared->Revision, true};
   if (!E.Shared && SharedCount >= MaxSharedRecords)
-    return makeRoom();
-  return QuarantineWrite{wanted(E), E.Shared ? E.Shared->Revision : 0};
+    return evictionWrite();
+  return QuarantineWrite{recordToWrite(E), E.Shared ? E.Shared->Revision : 0};
 }
 
 std::optional<QuarantineWrite>
@@ -203,22 +203,22 @@
   if (At == Entries.end())
     return std::nullopt;
   const Entry &E = At->second;
-  QuarantineRecord Next = known(E);
+  QuarantineRecord Next = combined(E);
   if (E.Clear || Next.quarantineState() != QuarantineState::OnTrial)
     return std::nullopt;
   ++Next.Trials;
   return QuarantineWrite{std::move(Next), E.Shared ? E.Shared->Revision : 0};
 }
 
-/// Nothing was heard of \p E for EvidenceLifetimeMs.
-void Quarantine::outdated(Entry &E, WallTime Now, bool Writes) {
+/// Handles \p E after EvidenceLifetimeMs without new evidence.
+void Quarantine::expireEntry(Entry &E, WallTime Now, bool Writes) {
   if (!E.Shared) {
     E.Own = QuarantineRecord{E.Own.Request};
     return;
   }
   if (!Writes)
     return;
-  QuarantineRecord Known = known(E);
+  QuarantineRecord Known = combined(E);
   if (Known.quarantineState() == QuarantineState::Suspect)
     E.Clear = true;
   else if (Known.quarantineState() == QuarantineState::Quarantined &&
@@ -233,8 +233,8 @@
     WallTime SeenAt =
         std::max(E.Own.SeenAt, E.Shared ? E.Shared->Record.SeenAt : 0);
     if (SeenAt + EvidenceLifetimeMs < Now) {
-      outdated(E, Now, Writes);
-      settle(At);
+      expireEntry(E, Now, Writes);
+      refreshEntry(At);
     }
     At = Next;
   }
@@ -243,7 +243,7 @@
 std::size_t Quarantine::count(QuarantineState S) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(Entries, [S](const auto &Item) {
-        return known(Item.second).quarantineState() == S;
+        return combined(Item.second).quarantineState() == S;
       }));
 }
 
--- a/packages/quarantine/Quarantine.h
+++ b/packages/quarantine/Quarantine.h
@@ -1,30 +1,30 @@
-//===- Quarantine.h - Requests under which replicas crashed -----*- C++ -*-===//
+//===- Quarantine.h - A daemon's table of suspected requests ----*- C++ -*-===//
 //
-// What one daemon knows of such requests: its own evidence, and the records
-// that the fleet shares through the platform's store. It says how a request is
-// to be treated, and what has to be written for the others to know it too.
+// Holds one daemon's evidence against requests during which replicas crashed,
+// and the records that the fleet shares through the platform's store. Tells how
+// a request may be sent and which records have to be written.
 //
-//   crashed()     a replica process ended while it had the request
-//   share()       no run of the attempt ended well: the others should know
-//   succeeded()   a run ended well: whatever was held against it is void
-//   put(), remove(), replaceAll()   the store's records, as they change
-//   nextWrite()   the next write to the store, until there is none
+//   crashed()     a replica process ended while it ran the request
+//   share()       no run of the attempt succeeded: other daemons should know
+//   succeeded()   a run succeeded: all evidence against the request is void
+//   put(), remove(), replaceAll()   changes of the store's records
+//   nextWrite()   the next write to the store, if any
 //
-// An attempt whose replica crashed and that was then served elsewhere is
-// cleared before anything is shared, so replicas that end for other reasons
-// cost no write.
+// An attempt whose replica crashed but that another replica served is cleared
+// before its evidence is shared, so replicas that end for other reasons cause
+// no writes.
 //
-// A trial is granted by the store: the write that counts it names the revision
-// that it read, so of any number of daemons one wins, and all of them together
-// make MaxTrials at most. One that reached no replica is given back, by a
-// write that is made once: were it repeated after a lost reply, it could give
-// back two. Where the trials told nothing, for instance because their daemons
-// ended, they are made anew after EvidenceLifetimeMs: the request may be
+// The store grants trials: the write that counts a trial is conditional on the
+// revision that was read, so one of any number of daemons wins and the fleet
+// makes at most MaxTrials. A trial that reached no replica is returned by a
+// write that is made only once: repeated after a lost reply, it could return
+// two trials. If the trials were inconclusive, for instance because their
+// daemons ended, they are renewed after EvidenceLifetimeMs: the request may be
 // harmless.
 //
-// Bounds: a flood of distinct requests costs MaxEntries entries of a few
-// hundred bytes here, and MaxSharedRecords objects in the store, of which the
-// oldest and least certain give way.
+// A flood of distinct requests is bounded to MaxEntries entries of a few
+// hundred bytes in the daemon and MaxSharedRecords objects in the store;
+// unproven records are evicted first, then the oldest.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUARANTINE_QUARANTINE_H
@@ -38,18 +38,17 @@
 
 namespace shallot {
 
-/// Records in the store: more distinct queries of death than that are a broken
-/// release. A daemon that starts reads some 300 KB of them.
+/// Maximum number of records in the store. More distinct queries of death mean
+/// a broken release. A starting daemon reads about 300 KB of records.
 inline constexpr std::size_t MaxSharedRecords = 1000;
-/// Requests that a daemon keeps evidence of, shared or not.
+/// Maximum number of requests with evidence in one daemon, shared or not.
 inline constexpr std::size_t MaxEntries = 4000;
-/// A suspicion that is not confirmed is forgotten after this, in milliseconds,
-/// and trials that told nothing are made anew. What is proven stays until an
-/// operator removes it: forgotten, the request would crash as many replicas
-/// again.
+/// Time in milliseconds after which unconfirmed evidence expires and
+/// inconclusive trials are renewed. A proven record stays until an operator
+/// removes it: without it the request would crash as many replicas again.
 inline constexpr WallTime EvidenceLifetimeMs = 600'000;
 
-/// A record as the store has it.
+/// A record in the store.
 struct SharedRecord {
   QuarantineRecord Record;
   std::uint64_t Revision = 0;
@@ -57,11 +56,10 @@
   friend bool operator==(const SharedRecord &, const SharedRecord &) = default;
 };
 
-/// A write to the store. It takes effect only if the record is still as it was
-/// read.
+/// A write to the store, conditional on the revision of the record.
 struct QuarantineWrite {
   QuarantineRecord Record;
-  /// Of the record that it replaces or removes; 0: there must be none.
+  /// Revision of the record to replace or remove; 0: none may exist.
   std::uint64_t Revision = 0;
   bool Removes = false;
 
@@ -72,68 +70,70 @@
 class Quarantine {
 public:
   QuarantineState quarantineState(const RequestFingerprint &R) const;
-  /// Replica processes that ended under it, CrashThreshold at most.
+  /// Number of replica processes that crashed under it, at most CrashThreshold.
   unsigned crashesOf(const RequestFingerprint &R) const;
 
-  /// \p Seen has the request, the one process that ended, the time and what
-  /// operators are told.
+  /// Records a crash. \p Seen holds the request, the process that ended, the
+  /// time, and the route and path for operators.
   void crashed(const QuarantineRecord &Seen);
+  /// Marks this daemon's evidence to be written to the store.
   void share(const RequestFingerprint &R);
-  /// The send of a granted trial crashed its replica.
+  /// Records that a granted trial crashed its replica.
   void trialCrashed(const RequestFingerprint &R);
-  /// A granted trial ended before anything of it reached a replica.
+  /// Returns a granted trial that ended before it reached a replica.
   void trialUnused(const RequestFingerprint &R);
-  /// True when something had been held against it.
+  /// Clears the request. Returns true if there was evidence against it.
   bool succeeded(const RequestFingerprint &R);
 
-  /// All records there are, as listed at \p Revision.
+  /// Replaces all records by the store's list at \p Revision.
   void replaceAll(const std::vector<SharedRecord> &Now, std::uint64_t Revision);
-  /// An older revision than the known one is ignored.
+  /// Applies a record from the store unless its revision is already known or
+  /// outdated.
   void put(SharedRecord Now);
-  /// The record is gone from the store: another daemon saw a run end well, an
-  /// operator removed it, or it expired. Nothing is held against it any more.
-  /// A removal before the known revision is ignored.
+  /// Applies the removal of a record from the store, which also voids the local
+  /// evidence: another daemon saw a run succeed, an operator removed the
+  /// record, or it expired. A removal older than the known revision is ignored.
   void remove(const RequestFingerprint &R, std::uint64_t Revision);
 
-  /// What is to be written next; nothing when the store has it all. The same
-  /// again until the store's record changes.
+  /// The next write to make; empty if the store is up to date. Returns the same
+  /// write until the store's record changes.
   std::optional<QuarantineWrite> nextWrite() const;
-  /// A write of the record of \p R is on its way, or has ended. A run that ends
-  /// well meanwhile voids what the write leaves behind.
+  /// Reports the start and the end of a write of the record of \p R. If a run
+  /// succeeds in between, the written record is removed again.
   void writeStarted(const RequestFingerprint &R);
   void writeEnded(const RequestFingerprint &R);
-  /// The write that grants a trial; nothing when none is left.
+  /// The write that grants a trial; empty if none is left.
   std::optional<QuarantineWrite> trialWrite(const RequestFingerprint &R) const;
-  /// Forgets suspicions that are too old and renews trials that told nothing;
-  /// \p Writes: this daemon does so in the store too.
+  /// Removes expired evidence and renews inconclusive trials; in the store only
+  /// if \p Writes is set.
   void expire(WallTime Now, bool Writes);
 
   std::size_t size() const { return Entries.size(); }
   std::size_t shared() const { return SharedCount; }
-  /// Entries of this standing, for metrics.
+  /// Number of requests in state \p S, for metrics.
   std::size_t count(QuarantineState S) const;
 
 private:
   struct Entry {
-    QuarantineRecord Own; ///< Seen here and not in Shared.
+    QuarantineRecord Own; ///< Local evidence.
     std::optional<SharedRecord> Shared;
-    bool Share = false;    ///< Own is to be written.
-    bool Clear = false;    ///< Shared is to be removed, and counts no more.
-    bool GiveBack = false; ///< One trial of Shared is to be given back.
-    WallTime RenewAt = 0;  ///< Trials of Shared are to be made anew; 0: not.
-    unsigned Writes = 0;   ///< On their way.
+    bool Share = false;       ///< Own must be written.
+    bool Clear = false;       ///< Shared is void and must be removed.
+    bool ReturnTrial = false; ///< One trial of Shared must be returned.
+    WallTime RenewAt = 0;     ///< Time of a due renewal of trials; 0: none.
+    unsigned Writes = 0;      ///< Writes in progress.
   };
   using Table = std::map<RequestFingerprint, Entry>;
 
-  static QuarantineRecord known(const Entry &E);
+  static QuarantineRecord combined(const Entry &E);
   static bool needsWrite(const Entry &E);
-  static QuarantineRecord wanted(const Entry &E);
-  static void outdated(Entry &E, WallTime Now, bool Writes);
-  void settle(Table::iterator At);
-  std::optional<QuarantineWrite> makeRoom() const;
+  static QuarantineRecord recordToWrite(const Entry &E);
+  static void expireEntry(Entry &E, WallTime Now, bool Writes);
+  void refreshEntry(Table::iterator At);
+  std::optional<QuarantineWrite> evictionWrite() const;
 
   Table Entries;
-  std::set<RequestFingerprint> Unwritten; ///< Entries that need a write.
+  std::set<RequestFingerprint> PendingWrites; ///< Entries that need a write.
   std::size_t SharedCount = 0;
 };
 
--- a/packages/quarantine/QuarantineRecord.cpp
+++ b/packages/quarantine/QuarantineRecord.cpp
@@ -19,8 +19,9 @@
 constexpr char RouteField[] = "route";
 constexpr char PathField[] = "path";
 
-/// What a name or path of another writer may take in every daemon's memory.
-constexpr std::size_t LongestText = 160;
+/// Truncates names and paths written by others: every daemon keeps them in
+/// memory.
+constexpr std::size_t MaxTextBytes = 160;
 
 Result<Json> field(const Json &Content, const char *Name,
                    bool (Json::*HasType)() const noexcept) {
@@ -34,7 +35,7 @@
 
 Result<std::string> textField(const Json &Content, const char *Name) {
   BOOST_LEAF_AUTO(V, field(Content, Name, &Json::is_string));
-  return V.get<std::string>().substr(0, LongestText);
+  return V.get<std::string>().substr(0, MaxTextBytes);
 }
 
 Result<std::vector<std::string>> crashedField(const Json &Content) {
@@ -44,7 +45,7 @@
     if (!Item.is_string())
       return fail(ResultCode::WrongType, CrashedField);
     if (Names.size() < CrashThreshold)
-      Names.push_back(Item.get<std::string>().substr(0, LongestText));
+      Names.push_back(Item.get<std::string>().substr(0, MaxTextBytes));
   }
   std::ranges::sort(Names);
   Names.erase(std::unique(Names.begin(), Names.end()), Names.end());
@@ -87,7 +88,7 @@
   QuarantineRecord M = A;
   M.Crashed.clear();
   std::ranges::set_union(A.Crashed, B.Crashed, std::back_inserter(M.Crashed));
-  // The same ones everywhere, so that equal evidence makes equal records.
+  // Sorted before truncation, so that equal evidence gives equal records.
   if (M.Crashed.size() > CrashThreshold)
     M.Crashed.resize(CrashThreshold);
   M.Trials = std::max(A.Trials, B.Trials);
@@ -110,7 +111,8 @@
                                     const Json &Content) {
   BOOST_LEAF_AUTO(Request, RequestFingerprint::parse(Name));
   if (!Content.is_object())
-    return fail(ResultCode::WrongType, "a quarantine record is an object");
+    return fail(ResultCode::WrongType,
+                "a quarantine record must be a JSON object");
   QuarantineRecord R{std::move(Request)};
   BOOST_LEAF_ASSIGN(R.Crashed, crashedField(Content));
   BOOST_LEAF_AUTO(Trials,
--- a/packages/quarantine/QuarantineRecord.h
+++ b/packages/quarantine/QuarantineRecord.h
@@ -1,16 +1,17 @@
-//===- QuarantineRecord.h - What is known of one request --------*- C++ -*-===//
+//===- QuarantineRecord.h - Crash evidence about one request ----*- C++ -*-===//
 //
-// A request that crashes whatever runs it (a query of death) looks at first
-// like any request whose replica crashed for another reason. A record holds the
-// evidence against one request: which replica processes ended under it. Each
-// process counts once, whichever daemon, hedge or shard saw it end, so records
-// of different daemons are merged by the union of these.
+// A request that crashes every replica that runs it (a query of death) cannot
+// be told at first from a request whose replica crashed for another reason. A
+// record holds the evidence against one request: the replica processes that
+// crashed while running it. Each process counts once, whichever daemon, hedge
+// or shard saw it end, so records of different daemons are merged by the union
+// of their processes.
 //
-// Evidence alone does not tell the guilty request from those that were in
-// flight beside it on the same replicas. From CrashThreshold on only a trial
-// does: one send to one replica, of which the whole fleet makes MaxTrials at
-// most. A run that ends well clears the request; one that crashes its replica
-// proves it guilty.
+// Evidence alone does not distinguish the request that caused the crashes from
+// those in flight beside it on the same replicas. From CrashThreshold processes
+// on, only a trial decides: one send to one replica, of which the whole fleet
+// makes at most MaxTrials. A successful run clears the request; one that
+// crashes its replica proves it harmful.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUARANTINE_QUARANTINERECORD_H
@@ -24,57 +25,59 @@
 
 namespace shallot {
 
-/// Replica processes that ended under a request before it is kept from them.
+/// Number of crashed replica processes from which on a request is sent only as
+/// a trial.
 inline constexpr unsigned CrashThreshold = 3;
-/// Trials in the whole fleet. The second is for a first one that told nothing:
-/// its replica was full, or its daemon ended.
+/// Maximum number of trials in the whole fleet. The second is for the case that
+/// the first was inconclusive: its replica was full, or its daemon ended.
 inline constexpr unsigned MaxTrials = 2;
 
-/// What may be done with a request.
+/// How a request may be sent, given the evidence against it.
 enum class QuarantineState : std::uint8_t {
-  Clear,       ///< Nothing speaks against it.
-  Suspect,     ///< Sent to one replica at a time until a run ends well.
-  OnTrial,     ///< Sent to one replica, by whoever is granted a trial.
+  Clear,       ///< No evidence against it.
+  Suspect,     ///< Sent to one replica at a time until a run succeeds.
+  OnTrial,     ///< Sent to one replica by a daemon with a granted trial.
   Quarantined, ///< Not sent to replicas.
 };
 
-/// For people: "clear", "suspect", "on trial", "quarantined".
+/// The name in logs, metrics and reports: "clear", "suspect", "on trial" or
+/// "quarantined".
 std::string_view quarantineStateName(QuarantineState S);
 
-/// How a request is sent under which replicas crashed in earlier attempts.
+/// Restricts how a request is sent if replicas crashed in earlier attempts.
 enum class SendRestriction : std::uint8_t {
   None,
-  OneAtATime, ///< To one replica, until a run ends well.
-  OneSend,    ///< A trial: to one replica, and to no other unless it ends well.
+  OneAtATime, ///< To one replica at a time, until a run succeeds.
+  OneSend,    ///< A trial: to others only after the first succeeds.
 };
 
 struct QuarantineRecord {
   RequestFingerprint Request;
-  /// Names of processes (processName), sorted, CrashThreshold at most.
+  /// Process names (processName), sorted, at most CrashThreshold.
   std::vector<std::string> Crashed;
   unsigned Trials = 0; ///< Granted so far.
   bool Proven = false; ///< A trial crashed its replica.
-  /// When a replica last crashed under it, for expiry and for operators.
+  /// Time of the last crash, for expiry and for operators.
   WallTime SeenAt = 0;
   std::string Route; ///< For operators.
-  std::string Path;  ///< For operators; the beginning of it.
+  std::string Path;  ///< For operators; truncated.
 
   QuarantineState quarantineState() const;
   friend bool operator==(const QuarantineRecord &,
                          const QuarantineRecord &) = default;
 };
 
-/// One process of a replica: another start of it under the same id is another
-/// one.
+/// Names one process of a replica. A restart under the same id is a different
+/// process.
 std::string processName(const UpstreamId &Id, std::uint64_t StartedUnixMs);
 
-/// All that either of two records of the same request knows.
+/// Merges the evidence of two records of the same request.
 QuarantineRecord merged(const QuarantineRecord &A, const QuarantineRecord &B);
 
-/// As an object's content in the platform's store.
+/// The content of the object that stores a record on the platform.
 nlohmann::json recordContent(const QuarantineRecord &R);
-/// Reads recordContent() under the object's name. Fails with BadName,
-/// MissingField or WrongType: objects may come from another writer.
+/// Parses the result of recordContent() from the object \p Name. Fails with
+/// BadName, MissingField or WrongType, since other programs may write objects.
 Result<QuarantineRecord> readRecord(const std::string &Name,
                                     const nlohmann::json &Content);
 
--- a/packages/quarantine/RequestFingerprint.h
+++ b/packages/quarantine/RequestFingerprint.h
@@ -1,9 +1,9 @@
-//===- RequestFingerprint.h - A request, whoever carries it -----*- C++ -*-===//
+//===- RequestFingerprint.h - Identity of a request -------------*- C++ -*-===//
 //
-// Two attempts at the same request have different ids and deadlines and may
-// come to different daemons. What a replica does with them is the same, and so
-// is their fingerprint: it covers the method, the host, the path with its
-// query, who the caller says it is, and the body.
+// Attempts at the same request have different ids and deadlines and may arrive
+// at different daemons, but replicas process them alike. Their fingerprint is
+// the same: it covers the method, the host, the path with its query, the
+// caller's credentials or tenant, and the body.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUARANTINE_REQUESTFINGERPRINT_H
@@ -20,20 +20,20 @@
 /// The parts of a request that a fingerprint covers.
 struct RequestIdentity {
   std::string_view Method;
-  std::string_view Host;   ///< As callers name it, without a port.
+  std::string_view Host;   ///< As the caller sent it, without a port.
   std::string_view Target; ///< Path and query.
-  std::string_view Caller; ///< Credentials or tenant; empty if none are sent.
+  std::string_view Caller; ///< Credentials or tenant; empty if none were sent.
   std::string_view Body;
 };
 
 class RequestFingerprint {
 public:
   static RequestFingerprint of(const RequestIdentity &R);
-  /// Reads str(). Fails with BadName.
+  /// Parses the result of str(). Fails with BadName.
   static Result<RequestFingerprint> parse(std::string_view Text);
 
-  /// 32 hexadecimal digits. They guard against mix-ups, not against somebody
-  /// who looks for two requests with the same fingerprint.
+  /// 32 hexadecimal digits. The hash prevents accidental collisions, not
+  /// deliberately constructed ones.
   const std::string &str() const { return Digits; }
 
   friend auto operator<=>(const RequestFingerprint &,
--- a/packages/quarantine/include/shallotshift/quarantine.h
+++ b/packages/quarantine/include/shallotshift/quarantine.h
@@ -1,9 +1,10 @@
-//===- shallotshift/quarantine.h - Queries of death -------------*- C++ -*-===//
+//===- shallotshift/quarantine.h - Requests that crash replicas -*- C++ -*-===//
 //
-// The public header of package quarantine: what identifies a request across
-// attempts (RequestFingerprint.h), what the fleet knows of one under which
-// replicas crashed (QuarantineRecord.h), and what a daemon does with such
-// requests (Quarantine.h). No I/O, no clock.
+// The public header of package quarantine, which keeps queries of death from
+// the replicas: the identity of a request across attempts
+// (RequestFingerprint.h), the fleet's shared record of a request during which
+// replicas crashed (QuarantineRecord.h), and a daemon's table of these records
+// (Quarantine.h). The package does no I/O and reads no clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUARANTINE_H
