--- a/packages/crashguard/QuarantineGate.cpp
+++ b/packages/crashguard/QuarantineGate.cpp
@@ -5,19 +5,21 @@
 
 namespace {
 
-/// Of a path in a record, for operators.
-constexpr std::size_t MostPathBytes = 120;
+/// Maximum length of a path in a record.
+constexpr std::size_t MaxPathBytes = 120;
 
-/// An attempt whose replica crashed is usually served by another one within
-/// this. What is not cleared by then is shared, also while the attempt waits:
-/// at a replica that hangs it may wait for as long as its caller does.
-constexpr Duration ClearedWithin = Millis(300);
+/// Delay before evidence is shared. An attempt whose replica crashed is usually
+/// served by another one within this time and cleared. Evidence that is not
+/// cleared by then is shared even if the attempt is still running: at a replica
+/// that hangs it may run for as long as its caller waits.
+constexpr Duration ShareDelay = Millis(300);
 
 } // namespace
 
-void QuarantineGate::connect(TrialFn Trial, std::function<void()> Unwritten) {
+void QuarantineGate::connect(TrialFn Trial,
+                             std::function<void()> PendingWrite) {
   OnTrial = std::move(Trial);
-  OnUnwritten = std::move(Unwritten);
+  OnPendingWrite = std::move(PendingWrite);
 }
 
 SendRestriction QuarantineGate::restrictionFor(const RequestAttempt &R,
@@ -45,7 +47,7 @@
 void QuarantineGate::trialUnused(const RequestAttempt &R) {
   Table.trialUnused(R.Fingerprint);
   logStanding(R, "trial_unused");
-  unwritten();
+  notifyPendingWrite();
 }
 
 void QuarantineGate::crashed(const RequestAttempt &R,
@@ -54,11 +56,11 @@
   Seen.Crashed = {Process.Name};
   Seen.SeenAt = Loop.wallTime();
   Seen.Route = R.Route;
-  Seen.Path = R.Path.substr(0, MostPathBytes);
+  Seen.Path = R.Path.substr(0, MaxPathBytes);
   Table.crashed(Seen);
-  Unshared.push_back({R.Fingerprint, Loop.now() + ClearedWithin});
+  Unshared.push_back({R.Fingerprint, Loop.now() + ShareDelay});
   if (!ShareTimer.pending())
-    ShareTimer = Loop.after(ClearedWithin, [this] { shareOverdue(); });
+    ShareTimer = Loop.after(ShareDelay, [this] { shareOverdue(); });
   Meter.count("shallot_replica_crashes_seen_total", {{"route", R.Route}});
   logEvent(LogLevel::Warn, "replica_crashed",
            {{"replica", Process.Name},
@@ -71,12 +73,12 @@
 
 void QuarantineGate::share(const RequestFingerprint &R) {
   Table.share(R);
-  unwritten();
+  notifyPendingWrite();
 }
 
-void QuarantineGate::unwritten() const {
-  if (OnUnwritten)
-    OnUnwritten();
+void QuarantineGate::notifyPendingWrite() const {
+  if (OnPendingWrite)
+    OnPendingWrite();
 }
 
 void QuarantineGate::shareOverdue() {
@@ -94,7 +96,7 @@
   if (!Table.succeeded(R.Fingerprint))
     return;
   logStanding(R, "request_cleared");
-  unwritten();
+  notifyPendingWrite();
 }
 
 void QuarantineGate::attemptFailed(const RequestAttempt &R, bool Trial,
--- a/packages/crashguard/QuarantineGate.h
+++ b/packages/crashguard/QuarantineGate.h
@@ -1,12 +1,13 @@
 //===- QuarantineGate.h - Keeps queries of death from replicas --*- C++ -*-===//
 //
-// Joins what a daemon knows of requests under which replicas crashed (package
-// quarantine) to its callers' requests: keeps the evidence, asks for trials and
-// says how they ended. Each decision is logged with the request's fingerprint,
-// by which attempts at the same request are found.
+// Connects a daemon's quarantine table (package quarantine) to its callers'
+// requests: records evidence, requests trials and reports their results. Each
+// decision is logged with the request's fingerprint, which identifies all
+// attempts at the same request.
 //
-// Who shares the evidence with the other daemons is set by whoever reads the
-// store (QuarantineSync.h). Without it no trial is granted.
+// Evidence is shared with the other daemons, and trials are granted, through
+// the callbacks of connect() (QuarantineSync.h). Without them no trial is
+// granted.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_CRASHGUARD_QUARANTINEGATE_H
@@ -22,21 +23,21 @@
 
 namespace shallot {
 
-/// The store grants a trial in milliseconds. While it is slow a caller does
-/// better to come back than to wait for it.
+/// Maximum wait for a trial. The store usually grants one within milliseconds;
+/// while it is slow, a caller should retry later instead of waiting.
 inline constexpr Duration MaxTrialWait = Millis(250);
-/// A trial that another daemon makes is over by then.
+/// Retry delay for callers, by which another daemon's trial has ended.
 inline constexpr Duration TrialRetryDelay = Millis(400);
 
-/// A caller's attempt, as logs and records name it.
+/// Identifies a caller's attempt in logs and records.
 struct RequestAttempt {
   RequestFingerprint Fingerprint;
   std::string Id;
   std::string Route;
-  std::string Path; ///< For operators; its beginning is kept.
+  std::string Path; ///< For operators; truncated in records.
 };
 
-/// The process of a replica that ended.
+/// A process of a replica that ended.
 struct EndedProcess {
   std::string Name; ///< processName().
   ServiceName Service;
@@ -54,8 +55,8 @@
   QuarantineGate &operator=(const QuarantineGate &) = delete;
 
   Quarantine &table() { return Table; }
-  /// Who grants trials, and who is told that something is to be written.
-  void connect(TrialFn OnTrial, std::function<void()> OnUnwritten);
+  /// Sets the callbacks that grant trials and that learn of pending writes.
+  void connect(TrialFn OnTrial, std::function<void()> OnPendingWrite);
 
   QuarantineState quarantineState(const RequestAttempt &R) const {
     return Table.quarantineState(R.Fingerprint);
@@ -63,33 +64,34 @@
   unsigned crashesOf(const RequestAttempt &R) const {
     return Table.crashesOf(R.Fingerprint);
   }
-  /// How the next attempt at \p R is sent. \p Trial: one was granted to it.
+  /// The restriction on the next attempt at \p R. \p Trial: a trial was granted
+  /// to it.
   SendRestriction restrictionFor(const RequestAttempt &R, bool Trial) const;
 
-  /// \p Done is called once, never before this returns.
+  /// Requests a trial. \p Done is called once, never before this returns.
   void requestTrial(const RequestAttempt &R, TrialCallback Done);
-  /// A granted trial ended before anything of it reached a replica.
+  /// Returns a granted trial that ended before it reached a replica.
   void trialUnused(const RequestAttempt &R);
-  /// \p Process ended while it had the request.
+  /// Records that \p Process ended while it ran the request.
   void crashed(const RequestAttempt &R, const EndedProcess &Process);
-  /// A run of it ended well.
+  /// Records a successful run, which clears the request.
   void succeeded(const RequestAttempt &R);
-  /// Replicas crashed under the attempt and no run of it ended well. To be
-  /// called again when that is found of another one after the answer: \p First
-  /// is false then. \p Trial: it was a granted one.
+  /// Reports that replicas crashed under the attempt and no run succeeded. Must
+  /// be called again, with \p First false, if another crash is found after the
+  /// answer. \p Trial: the attempt was a granted trial.
   void attemptFailed(const RequestAttempt &R, bool Trial, bool First);
 
-  /// Requests known here, by standing.
+  /// Writes the number of requests by state.
   void writeGauges(Metrics &Into) const;
 
 private:
   void share(const RequestFingerprint &R);
-  void unwritten() const;
+  void notifyPendingWrite() const;
   void shareOverdue();
   void logStanding(const RequestAttempt &R, std::string_view Event);
 
-  /// Evidence that may be cleared by an attempt that still runs.
-  struct Fresh {
+  /// Evidence that an attempt in progress may still clear.
+  struct PendingEvidence {
     RequestFingerprint Fingerprint;
     Instant ShareAt;
   };
@@ -97,10 +99,10 @@
   EventLoop &Loop;
   Metrics &Meter;
   Quarantine Table;
-  std::deque<Fresh> Unshared; ///< In order of time.
+  std::deque<PendingEvidence> Unshared; ///< In order of time.
   TimerHandle ShareTimer;
   TrialFn OnTrial;
-  std::function<void()> OnUnwritten;
+  std::function<void()> OnPendingWrite;
 };
 
 } // namespace shallot
--- a/packages/crashguard/QuarantineSync.h
+++ b/packages/crashguard/QuarantineSync.h
@@ -1,14 +1,14 @@
-//===- QuarantineSync.h - What the fleet knows of crashes -------*- C++ -*-===//
+//===- QuarantineSync.h - Shares quarantine records in a store --*- C++ -*-===//
 //
-// Writes a daemon's evidence into the store, where every daemon reads it, and
-// asks the store for trials. The store is what survives the loss of all hosts
-// at once, and its conditional writes are what daemons that have not heard of
-// each other agree by.
+// Writes a daemon's evidence to the store, from which every daemon reads it,
+// and requests trials from the store. The store survives the simultaneous loss
+// of all hosts, and its conditional writes let daemons agree without knowing of
+// each other.
 //
-// One write at a time, and a bounded number of them: a flood of distinct
-// requests that crash replicas costs the fleet FleetWritesPerSecond. What could
-// not be written is tried again; a trial that could not be written at once is
-// refused, since whoever waits for it is a caller.
+// Writes are made one at a time and at a bounded rate: a flood of distinct
+// requests that crash replicas costs the fleet FleetWritesPerSecond. A failed
+// write of evidence is retried; a trial that cannot be written at once is
+// refused, because a caller waits for it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_CRASHGUARD_QUARANTINESYNC_H
@@ -23,33 +23,34 @@
 
 namespace shallot {
 
-/// Of all daemons together: a tenth of what the smallest stores take.
+/// Write rate of all daemons together: a tenth of the capacity of the smallest
+/// stores.
 inline constexpr double FleetWritesPerSecond = 40;
-/// Of one daemon, whatever the size of the fleet. Each record that is written
-/// goes to all daemons, so the fleet's rate and not a daemon's has to be
-/// bounded in a fleet of thousands too.
+/// Bounds of one daemon's write rate, whatever the size of the fleet. Each
+/// written record is sent to all daemons, so even in a fleet of thousands it is
+/// the fleet's rate that must stay bounded.
 inline constexpr double MinWritesPerSecond = 0.02;
 inline constexpr double MaxWritesPerSecond = 2;
-/// Writes that one daemon may make at once: a request that crashes replicas
-/// takes three or four.
+/// Burst of writes of one daemon; a request that crashes replicas takes three
+/// or four.
 inline constexpr double WriteBurst = 12;
 
-/// How often writes that found no token, and suspicions that are too old, are
-/// looked at.
+/// Interval at which rate-limited writes are retried and expired evidence is
+/// removed.
 inline constexpr Duration QuarantineSyncInterval = Millis(500);
 
 template <KindWriter Store, TimerSource Time> class QuarantineSync {
 public:
-  /// \p Kind is that of the records in the store.
+  /// \p Kind is the kind of the records' objects in the store.
   QuarantineSync(Time &T, Store &S, std::string Kind, Quarantine &Table,
                  Random &Rng)
       : T(T), S(S), Kind(std::move(Kind)), Table(Table), Rng(Rng),
-        Wait(FirstBackoff, MostBackoff),
+        RetryBackoff(FirstBackoff, MaxBackoff),
         Writes(MaxWritesPerSecond, WriteBurst, T.now()) {}
   QuarantineSync(const QuarantineSync &) = delete;
   QuarantineSync &operator=(const QuarantineSync &) = delete;
 
-  /// Daemons that share the store.
+  /// Sets the number of daemons that share the store.
   void setMembers(std::size_t Count) {
     double Share =
         FleetWritesPerSecond / double(std::max<std::size_t>(1, Count));
@@ -57,7 +58,7 @@
                    T.now());
   }
 
-  /// Writes what the store lacks, if anything.
+  /// Makes the next pending write, if any.
   void pump() {
     if (Busy)
       return;
@@ -65,14 +66,14 @@
     if (!W || !Writes.take(T.now()))
       return;
     Busy = true;
-    write(*W, [this](WriteEnd End) {
+    write(*W, [this](WriteOutcome Outcome) {
       Busy = false;
-      if (End != WriteEnd::Failed) {
-        Wait.reset();
+      if (Outcome != WriteOutcome::Failed) {
+        RetryBackoff.reset();
         return pump();
       }
-      Busy = true; // Until the store may answer again.
-      T.after(Wait.next(Rng), guarded([this] {
+      Busy = true; // For the backoff time.
+      T.after(RetryBackoff.next(Rng), guarded([this] {
                 Busy = false;
                 pump();
               }));
@@ -80,26 +81,26 @@
   }
 
   /// Counts a trial of \p R in the store. \p Done is called once, never before
-  /// this returns; without a clear answer of the store the trial is refused.
+  /// this returns. Unless the store confirms the write, the trial is refused.
   void requestTrial(const RequestFingerprint &R,
                     QuarantineGate::TrialCallback Done) {
-    tryTrial(R, TrialTries, std::move(Done));
+    tryTrial(R, MaxTrialTries, std::move(Done));
   }
 
-  /// To be called every QuarantineSyncInterval. \p Prunes: this daemon removes
-  /// old suspicions from the store.
+  /// Must be called every QuarantineSyncInterval. \p Prunes: this daemon
+  /// removes expired evidence from the store.
   void tick(WallTime Now, bool Prunes) {
     Table.expire(Now, Prunes);
     pump();
   }
 
-  /// A record as the store has it; nothing when it cannot be read.
+  /// Parses a record of the store; empty if it is malformed.
   static std::optional<SharedRecord> readShared(const KindObject &O) {
     auto R = attempt([&] { return readRecord(O.Name, O.Content); });
     if (R)
       return SharedRecord{std::move(*R), O.Revision};
     logEvent(LogLevel::Warn, "quarantine_record_unreadable",
-             {{"object", O.Name.substr(0, MostLoggedName)},
+             {{"object", O.Name.substr(0, MaxLoggedNameBytes)},
               {"code", codeLabel(R.error().Code)},
               {"why", R.error().Detail}});
     return std::nullopt;
@@ -107,10 +108,10 @@
 
 private:
   static constexpr Duration FirstBackoff = Millis(150);
-  static constexpr Duration MostBackoff = Millis(1500);
-  static constexpr std::size_t MostLoggedName = 80;
-  /// A write that met another daemon's is made anew on top of that.
-  static constexpr int TrialTries = 3;
+  static constexpr Duration MaxBackoff = Millis(1500);
+  static constexpr std::size_t MaxLoggedNameBytes = 80;
+  /// Attempts at a write that conflicts with other daemons' writes.
+  static constexpr int MaxTrialTries = 3;
 
   template <typename F> auto guarded(F Fn) {
     return [Weak = std::weak_ptr(Alive), Fn = std::move(Fn)](auto &&...Args) {
@@ -119,25 +120,26 @@
     };
   }
 
-  /// How a write ended. The table has the store's answer, if there was one.
-  enum class WriteEnd : std::uint8_t {
+  /// The outcome of a write. The store's reply, if any, is in the table by
+  /// then.
+  enum class WriteOutcome : std::uint8_t {
     Applied,
-    Met,    ///< The record was another one than the write expected.
-    Failed, ///< No answer; it may have taken effect.
+    Conflict, ///< The record's revision was not the expected one.
+    Failed,   ///< No reply; the write may have taken effect.
   };
 
-  void write(const QuarantineWrite &W, std::function<void(WriteEnd)> Done) {
+  void write(const QuarantineWrite &W, std::function<void(WriteOutcome)> Done) {
     Table.writeStarted(W.Record.Request);
     auto Written = guarded(
         [this, W, Done = std::move(Done)](Attempt<KindWriteReply> Reply) {
           if (Reply)
-            take(W, *Reply);
+            applyReply(W, *Reply);
           else
             logFailed(W, Reply.error());
           Table.writeEnded(W.Record.Request);
-          Done(!Reply           ? WriteEnd::Failed
-               : Reply->Applied ? WriteEnd::Applied
-                                : WriteEnd::Met);
+          Done(!Reply           ? WriteOutcome::Failed
+               : Reply->Applied ? WriteOutcome::Applied
+                                : WriteOutcome::Conflict);
         });
     const std::string &Name = W.Record.Request.str();
     if (W.Removes)
@@ -147,19 +149,19 @@
                     std::move(Written));
   }
 
-  /// Whether the write took effect or met another one, the store says how the
-  /// object is now.
-  void take(const QuarantineWrite &W, const KindWriteReply &Reply) {
+  /// Updates the table from the store's reply, which holds the current object
+  /// whether the write was applied or conflicted.
+  void applyReply(const QuarantineWrite &W, const KindWriteReply &Reply) {
     logWritten(W, Reply.Applied);
     if (W.Removes && Reply.Applied)
       return Table.remove(W.Record.Request, W.Revision);
     if (!Reply.Now)
       return Table.remove(W.Record.Request, UINT64_MAX);
-    // What cannot be read says nothing, and gives way to the next write.
-    std::optional<SharedRecord> There = readShared(*Reply.Now);
-    Table.put(There ? std::move(*There)
-                    : SharedRecord{QuarantineRecord{W.Record.Request},
-                                   Reply.Now->Revision});
+    // A malformed record counts as empty and is replaced by the next write.
+    std::optional<SharedRecord> Stored = readShared(*Reply.Now);
+    Table.put(Stored ? std::move(*Stored)
+                     : SharedRecord{QuarantineRecord{W.Record.Request},
+                                    Reply.Now->Revision});
   }
 
   void tryTrial(const RequestFingerprint &R, int Tries,
@@ -169,11 +171,11 @@
       T.after(Duration(0), guarded([Done] { Done(false); }));
       return;
     }
-    write(*W, [this, R, Tries, Done = std::move(Done)](WriteEnd End) {
-      if (End == WriteEnd::Met)
+    write(*W, [this, R, Tries, Done = std::move(Done)](WriteOutcome Outcome) {
+      if (Outcome == WriteOutcome::Conflict)
         tryTrial(R, Tries - 1, Done);
       else
-        Done(End == WriteEnd::Applied);
+        Done(Outcome == WriteOutcome::Applied);
     });
   }
 
@@ -200,8 +202,8 @@
   std::string Kind;
   Quarantine &Table;
   Random &Rng;
-  Backoff Wait;
-  bool Busy = false; ///< A write is out, or waits after a failure.
+  Backoff RetryBackoff;
+  bool Busy = false; ///< A write is in progress or backing off.
   TokenBucket Writes;
   std::shared_ptr<char> Alive = std::make_shared<char>();
 };
--- a/packages/crashguard/RecordDocument.cpp
+++ b/packages/crashguard/RecordDocument.cpp
@@ -37,9 +37,11 @@
 Result<RecordSet> parseRecordSet(std::string_view Text) {
   Json Doc = Json::parse(Text, nullptr, false);
   if (Doc.is_discarded())
-    return fail(ResultCode::MalformedJson, "a document of records is JSON");
+    return fail(ResultCode::MalformedJson,
+                "a record document must be valid JSON");
   if (!Doc.is_object())
-    return fail(ResultCode::WrongType, "a document of records is an object");
+    return fail(ResultCode::WrongType,
+                "a record document must be a JSON object");
   RecordSet P;
   BOOST_LEAF_ASSIGN(P.Revision, revisionIn(Doc));
   auto Records = Doc.find(RecordsField);
--- a/packages/crashguard/RecordDocument.h
+++ b/packages/crashguard/RecordDocument.h
@@ -1,20 +1,21 @@
-//===- RecordDocument.h - Objects of a kind in one object -------*- C++ -*-===//
+//===- RecordDocument.h - Objects of a kind in one document -----*- C++ -*-===//
 //
-// A store of single objects (ObjectStore) as one whose objects of a kind can be
-// written one by one (KindWriter): all of them are members of one document. It
-// is for few and small objects that every daemon reads whole.
+// Adapts a store of single objects (ObjectStore) to one whose objects of a kind
+// can be written individually (KindWriter): all of them are members of one
+// document. Meant for a small number of small objects that every daemon reads
+// as a whole.
 //
 //   {"revision": 12,
 //    "records": {"319d25e4..": {"revision": 9, "content": {..}}, ..}}
 //
-// A write reads nothing when the document is as this daemon last saw it. Where
-// another daemon was first, the store says so (PlatformConflict); the document
-// is then read again, and the write is made on top of it if the object itself
-// is still as it was expected to be.
+// A write needs no read if the document is unchanged since this daemon last saw
+// it. If another daemon wrote first, the store reports PlatformConflict; the
+// document is then read again, and the write is repeated on top of it if the
+// object itself still has the expected revision.
 //
-// What others wrote comes by take(), from a watch or a peer. Each state of the
-// document that is newer than the one before goes to OnNews, which may be
-// called before a write's own callback.
+// Changes by others arrive by update(), from a watch or a peer. Each newer
+// state of the document is passed to the callback of onChange(), possibly
+// before the callback of the write that caused it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_CRASHGUARD_RECORDDOCUMENT_H
@@ -31,19 +32,18 @@
 
 namespace shallot {
 
-/// Where the records of requests that crash upstreams are in the store.
+/// Path in the store of the records of requests that crash upstreams.
 inline constexpr std::string_view RecordsPath = "quarantine/records";
 
-/// The document, read.
+/// The parsed document.
 struct RecordSet {
-  std::uint64_t Revision = 0; ///< Counts the changes of the document.
+  std::uint64_t Revision = 0; ///< Incremented by each change of the document.
   std::map<std::string, KindObject> Objects;
 
   friend bool operator==(const RecordSet &, const RecordSet &) = default;
 };
 
-/// Reads the text of a document. Fails with MalformedJson, MissingField or
-/// WrongType.
+/// Parses a document. Fails with MalformedJson, MissingField or WrongType.
 Result<RecordSet> parseRecordSet(std::string_view Text);
 std::string formatRecordSet(const RecordSet &P);
 
@@ -57,20 +57,20 @@
 
   const std::string &path() const { return Path; }
   void onChange(ChangeFn Fn) { OnNews = std::move(Fn); }
-  /// The store's version of the document as last seen; 0: none was seen.
-  std::uint64_t version() const { return Known.Version; }
-  const StoredObject &stored() const { return Known; }
+  /// The last seen store version of the document; 0: none.
+  std::uint64_t version() const { return Stored.Version; }
+  const StoredObject &stored() const { return Stored; }
 
-  /// The document as a watch or a peer gave it; an older one is ignored.
+  /// Applies the document from a watch or a peer unless it is older.
   void update(const StoredObject &Now) {
-    if (Now.Version <= Known.Version)
+    if (Now.Version <= Stored.Version)
       return;
     auto Read = attempt([&] { return parseRecordSet(Now.Value); });
-    Known = Now;
+    Stored = Now;
     if (Read) {
       Page = std::move(*Read);
     } else {
-      // It gives way to the next write.
+      // A malformed document counts as empty; the next write replaces it.
       logEvent(LogLevel::Error, "record_document_unreadable",
                {{"path", Path},
                 {"version", std::to_string(Now.Version)},
@@ -82,36 +82,38 @@
       OnNews(Page);
   }
 
-  /// The document is gone from the store: an operator removed it.
+  /// Reports that an operator removed the document from the store.
   void removed() {
-    if (Known.Version == 0 && Page.Objects.empty())
+    if (Stored.Version == 0 && Page.Objects.empty())
       return;
-    Known = {};
+    Stored = {};
     Page = {Page.Revision + 1, {}};
     if (OnNews)
       OnNews(Page);
   }
 
-  // KindWriter; there is one kind.
+  // The KindWriter interface. There is one kind, so its name is ignored.
 
   void writeObject(const std::string &, const std::string &Name,
                    nlohmann::json Content, std::uint64_t Revision,
                    StoreCallback<KindWriteReply> Done) {
-    edit({Name, Revision, std::move(Content), false, std::move(Done)}, Tries);
+    edit({Name, Revision, std::move(Content), false, std::move(Done)},
+         MaxTries);
   }
   void removeObject(const std::string &, const std::string &Name,
                     std::uint64_t Revision,
                     StoreCallback<KindWriteReply> Done) {
-    edit({Name, Revision, {}, true, std::move(Done)}, Tries);
+    edit({Name, Revision, {}, true, std::move(Done)}, MaxTries);
   }
 
 private:
-  /// Daemons that write at one moment meet; each try is one call more.
-  static constexpr int Tries = 4;
+  /// Attempts at a write that conflicts with other daemons' writes; each costs
+  /// another call.
+  static constexpr int MaxTries = 4;
 
   struct Edit {
     std::string Name;
-    std::uint64_t Revision = 0; ///< That the object must have; 0: none.
+    std::uint64_t Revision = 0; ///< Expected revision of the object; 0: absent.
     nlohmann::json Content;
     bool Removes = false;
     StoreCallback<KindWriteReply> Done;
@@ -131,12 +133,12 @@
     return At->second;
   }
 
-  bool asExpected(const Edit &E) const {
+  bool hasExpectedRevision(const Edit &E) const {
     std::optional<KindObject> Now = object(E.Name);
     return (Now ? Now->Revision : 0) == E.Revision;
   }
 
-  RecordSet edited(const Edit &E) const {
+  RecordSet withEdit(const Edit &E) const {
     RecordSet Next = Page;
     ++Next.Revision;
     if (E.Removes)
@@ -147,11 +149,13 @@
   }
 
   void edit(Edit E, int TriesLeft) {
-    if (!asExpected(E))
-      return refresh(std::move(E), TriesLeft); // Or it is we who are behind.
-    std::string Text = formatRecordSet(edited(E));
-    auto If = Known.Version == 0 ? Precondition::ifAbsent()
-                                 : Precondition::ifVersion(Known.Version);
+    // This daemon's state may be outdated, so reread before reporting a
+    // conflict.
+    if (!hasExpectedRevision(E))
+      return rereadAndRetry(std::move(E), TriesLeft);
+    std::string Text = formatRecordSet(withEdit(E));
+    auto If = Stored.Version == 0 ? Precondition::ifAbsent()
+                                  : Precondition::ifVersion(Stored.Version);
     auto Written = guarded([this, E = std::move(E), Text,
                             TriesLeft](const Attempt<std::uint64_t> &Version) {
       if (Version) {
@@ -159,14 +163,15 @@
         return E.Done(KindWriteReply{true, object(E.Name)});
       }
       if (Version.error().Code == ResultCode::PlatformConflict && TriesLeft > 1)
-        return refresh(E, TriesLeft);
+        return rereadAndRetry(E, TriesLeft);
       E.Done(Version.error());
     });
     S.write(Path, Text, If, std::move(Written));
   }
 
-  /// Reads the document, and goes on with \p E if its object is as expected.
-  void refresh(Edit E, int TriesLeft) {
+  /// Reads the document and retries \p E if its object has the expected
+  /// revision.
+  void rereadAndRetry(Edit E, int TriesLeft) {
     auto Read = guarded([this, E = std::move(E),
                          TriesLeft](const Attempt<StoredObject> &Now) {
       bool Absent = !Now && Now.error().Code == ResultCode::PlatformNotFound;
@@ -176,7 +181,7 @@
         update(*Now);
       else
         removed();
-      if (asExpected(E) && TriesLeft > 1)
+      if (hasExpectedRevision(E) && TriesLeft > 1)
         return edit(E, TriesLeft - 1);
       E.Done(KindWriteReply{false, object(E.Name)});
     });
@@ -186,7 +191,7 @@
   Store &S;
   std::string Path;
   ChangeFn OnNews;
-  StoredObject Known;
+  StoredObject Stored;
   RecordSet Page;
   std::shared_ptr<char> Alive = std::make_shared<char>();
 };
--- a/packages/crashguard/include/shallotshift/crashguard.h
+++ b/packages/crashguard/include/shallotshift/crashguard.h
@@ -1,9 +1,9 @@
-//===- shallotshift/crashguard.h - Queries of death in a daemon -*- C++ -*-===//
+//===- shallotshift/crashguard.h - Quarantine in a daemon -------*- C++ -*-===//
 //
-// The public header of package crashguard. It joins what package quarantine
-// decides to a daemon: its requests, logs and metrics (QuarantineGate.h), and
-// the platform's store, in which the fleet shares it (QuarantineSync.h). Where
-// that store knows single objects only, all records are in one of them
+// The public header of package crashguard. It connects package quarantine to a
+// daemon's requests, logs and metrics (QuarantineGate.h) and to the platform's
+// store, through which the fleet shares the records (QuarantineSync.h). If the
+// store has only single objects, all records are kept in one of them
 // (RecordDocument.h).
 //
 //===----------------------------------------------------------------------===//
