--- a/tests/correctness/AdmissionEndsEveryEntry.cpp
+++ b/tests/correctness/AdmissionEndsEveryEntry.cpp
@@ -1,5 +1,5 @@
-// At the entry every request is started, refused or cancelled, exactly once,
-// and a refusal comes as soon as it is certain.
+// Every request offered to Admission is started, refused or cancelled exactly
+// once, and it is refused as soon as it cannot start in time.
 #include "AdmissionLedger.h"
 #include "AllocationFixture.h"
 
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("the better class goes first and the other is not starved") {
+TEST_CASE("the better priority starts first and the other is not starved") {
   Admission A(twoClasses(), fixedLimit(1));
   A.offer({0, Desk, Start + Seconds(1)}, Start);
   for (TicketId Id = 1; Id <= 3; ++Id)
@@ -52,16 +52,15 @@
   CHECK(Pulls == 2); // MinClassShare of 50 starts.
 }
 
-TEST_CASE(
-    "a full queue and a turn that comes too late are refused on arrival") {
+TEST_CASE("a full queue and an expected late start are refused on arrival") {
   Admission A(twoClasses(), fixedLimit(1));
   A.offer({0, Desk, Start + Seconds(1)}, Start);
-  A.done(0, took(Millis(20)), Start); // One place, 20 ms each.
+  A.done(0, took(Millis(20)), Start); // Limit 1, 20 ms each.
   A.offer({1, Desk, Start + Seconds(1)}, Start);
   CHECK(A.offer({2, Desk, Start + Seconds(1)}, Start) ==
         AdmissionDecision::wait());
   AdmissionDecision Late = A.offer({3, Desk, Start + Seconds(1)}, Start);
-  CHECK(Late.Code == ResultCode::Overloaded); // 40 of 50 ms: too close.
+  CHECK(Late.Code == ResultCode::Overloaded); // 40 ms exceeds 0.7 of 50 ms.
   CHECK(Late.RetryAfter >= MinRetryAfter);
   AdmissionDecision Short = A.offer({4, Desk, Start + Millis(60)}, Start);
   CHECK(Short.Code == ResultCode::WouldMissDeadline);
@@ -72,7 +71,7 @@
         ResultCode::QueueFull);
 }
 
-TEST_CASE("one that waits is refused when its time in the queue is over") {
+TEST_CASE("a waiting request is refused when its QueueWait is over") {
   Admission A(twoClasses(), fixedLimit(1));
   A.offer({0, Desk, Start + Seconds(1)}, Start);
   A.offer({1, Desk, Start + Seconds(1)}, Start);
@@ -82,7 +81,7 @@
   CHECK(Out[0].Final.Code == ResultCode::Overloaded);
 }
 
-TEST_CASE("a class that the next preset lacks is refused") {
+TEST_CASE("requests of a class missing from the new preset are refused") {
   Admission A(twoClasses(), fixedLimit(1));
   A.offer({0, Desk, Start + Seconds(1)}, Start);
   A.offer({1, Pull, Start + Seconds(30)}, Start);
--- a/tests/correctness/AllocationIsBalancedAndStable.cpp
+++ b/tests/correctness/AllocationIsBalancedAndStable.cpp
@@ -1,5 +1,5 @@
-// Over all services no daemon holds much more than another, and one daemon more
-// or less moves few slots besides its own.
+// The slots of all services are balanced over the daemons, and a daemon that
+// joins or leaves moves few slots besides its own.
 #include "AllocationFixture.h"
 
 #include <doctest/doctest.h>
@@ -16,9 +16,9 @@
   double MeanMoved = 0;
 };
 
-/// Allocations to \p Daemons, then lets \p Trials of them leave, one at a time.
-/// Each leaving read backwards is a joining, which moves as many slots at most
-/// plus those that come back to it.
+/// Allocates the slots to \p Daemons, then removes a random daemon \p Trials
+/// times, each time from the full fleet. The reverse of each removal is a join,
+/// which moves at most as many slots plus those that the joining daemon gains.
 Balance measure(const Shape &S, unsigned Daemons, unsigned DaemonZones,
                 unsigned Trials) {
   ConfigPtr C = config(S);
@@ -51,7 +51,7 @@
   CHECK(B.WorstMoved <= 4 * B.Mean);
 }
 
-TEST_CASE("upstreams in fewer zones than the daemons") {
+TEST_CASE("upstreams in fewer zones than daemons") {
   Balance B = measure({3300, 3, 2, 25, 4}, 1700, 21, 5);
   MESSAGE("mean ", B.Mean, " max ", B.Max, " moved mean ", B.MeanMoved,
           " worst ", B.WorstMoved);
@@ -59,7 +59,7 @@
   CHECK(B.WorstMoved <= 7 * B.Mean);
 }
 
-TEST_CASE("today's fleets of 5 to 12") {
+TEST_CASE("current fleets of 5 to 12 daemons") {
   for (unsigned Daemons = 5; Daemons <= 12; ++Daemons) {
     Balance B = measure({25, 3, 2, 25, 3}, Daemons, 3, Daemons);
     INFO("daemons ", Daemons, " mean ", B.Mean, " max ", B.Max, " moved ",
--- a/tests/correctness/ExtraWorkIsBounded.cpp
+++ b/tests/correctness/ExtraWorkIsBounded.cpp
@@ -1,11 +1,12 @@
-// Whatever fails, hedges and retries stay a fixed part of the normal work.
+// Hedges and retries stay within a fixed fraction of normal work, whatever
+// fails.
 #include "shallotshift/limits.h"
 
 #include <doctest/doctest.h>
 
 using namespace shallot;
 
-TEST_CASE("spends never exceed the percentage and the floor") {
+TEST_CASE("spent tokens never exceed the percentage plus the initial tokens") {
   for (double Percent : {0.0, 1.0, 5.0, 10.0, 33.0}) {
     Random Rng(3);
     Budget B(Percent);
@@ -23,7 +24,7 @@
   }
 }
 
-TEST_CASE("a quiet hour does not pay for a storm") {
+TEST_CASE("a quiet period saves up at most MaxBalance tokens") {
   Budget B(10);
   B.earn(1000000);
   unsigned Spent = 0;
@@ -37,7 +38,7 @@
   CHECK_FALSE(B.trySpend());
 }
 
-TEST_CASE("each tenant and class spends its own") {
+TEST_CASE("each tenant and class has its own budgets") {
   BudgetTable T;
   ExtraBudgets &Desk = T.of(Tenant("khan-uul"), CallerClass("desk"), 5, 10);
   while (Desk.Retries.trySpend()) {
--- a/tests/correctness/SlotQueueServesTheUrgent.cpp
+++ b/tests/correctness/SlotQueueServesTheUrgent.cpp
@@ -1,6 +1,6 @@
-// At the holder of a slot the best priority goes first and the earliest
-// deadline among equals; what cannot be in time is refused while its sender can
-// still do something else; every entry ends exactly once.
+// SlotQueue serves the best priority first, and the earliest deadline among
+// equal priorities. It refuses a request that cannot meet its deadline while
+// the sender has time to try another upstream. Every entry ends exactly once.
 #include "AdmissionLedger.h"
 
 using namespace shallot;
@@ -35,8 +35,7 @@
   CHECK(Q.report().InWork == 0);
 }
 
-TEST_CASE(
-    "a request is refused when it becomes hopeless, not at its deadline") {
+TEST_CASE("a request is refused once it cannot finish by its deadline") {
   SlotQueue Q(Share{1, 2});
   Q.offer(request(1, 5, Seconds(1)), Start);
   CHECK(Q.offer(request(2, 5, Millis(50)), Start) == AdmissionDecision::wait());
@@ -51,7 +50,7 @@
   CHECK(TooLate.Code == ResultCode::WouldMissDeadline);
 }
 
-TEST_CASE("a full queue makes room for a better request only") {
+TEST_CASE("a full queue evicts only for a better priority") {
   SlotQueue Q(Share{1, 2});
   for (TicketId Id = 0; Id <= MaxSlotWaiting; ++Id)
     Q.offer(request(Id, 5, Seconds(20)), Start);
@@ -68,7 +67,7 @@
 }
 
 TEST_CASE(
-    "with the slot gone the waiting are sent elsewhere, the running count") {
+    "without a slot waiting requests are refused, running ones still count") {
   SlotQueue Q(Share{1, 2});
   Q.offer(request(1, 5, Seconds(1)), Start);
   Q.offer(request(2, 5, Seconds(1)), Start);
--- a/tests/correctness/SlotsAreAllocatedOnce.cpp
+++ b/tests/correctness/SlotsAreAllocatedOnce.cpp
@@ -1,5 +1,6 @@
-// Every daemon with the same picture computes the same deal: all slots of each
-// upstream, each once, and no more connections than the upstream accepts.
+// All daemons with the same view compute the same allocation. It covers all
+// slots of each upstream exactly once and no more connections than the upstream
+// accepts.
 #include "AllocationFixture.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +26,8 @@
 
 } // namespace
 
-TEST_CASE("random fleets deal every slot once and stay within connections") {
+TEST_CASE(
+    "random fleets allocate every slot once and stay within connections") {
   Random Rng(7);
   for (int Round = 0; Round < 200; ++Round) {
     Shape S;
@@ -35,7 +37,7 @@
     S.Connections = S.Slots + below(Rng, 20);
     S.Zones = 1 + below(Rng, 4);
     ConfigPtr C = config(S);
-    // Daemons may be in zones without upstreams and the other way round.
+    // Daemons may be in zones without upstreams, and vice versa.
     FleetView V = fleet(1 + below(Rng, 40), 1 + below(Rng, 5));
     SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
     checkCaps(*C, A);
@@ -54,7 +56,8 @@
   }
 }
 
-TEST_CASE("today's six daemons hold one slot of each service, of a near one") {
+TEST_CASE(
+    "the current six daemons hold one slot of each service, in their zone") {
   ConfigPtr C = config(Shape());
   FleetView V = fleet(6, 3);
   SlotAllocation A = SlotAllocation::make(*C, V, V.Members[2].Id);
@@ -68,7 +71,7 @@
   });
 }
 
-TEST_CASE("only members that take new work hold slots, one for each host") {
+TEST_CASE("only members that take new work hold slots, one per host") {
   ConfigPtr C = config(Shape());
   FleetView V = fleet(6, 3);
   V.Members[0].State = MemberState::Leaving;
--- a/tests/failure/GrantedSharesChangeHands.cpp
+++ b/tests/failure/GrantedSharesChangeHands.cpp
@@ -1,7 +1,7 @@
-// What operators see: replicas get more second sends in ten seconds than the
-// configuration allows. In what order: one set of daemons uses up its shares,
-// another set is named, and daemons learn of it at different times. Why it must
-// hold: second sends come when replicas fail, and that is when sets change.
+// Guards against more second sends to replicas in ten seconds than configured.
+// This would happen if one set of daemons used up its shares, another set were
+// chosen, and daemons learned of it at different times. Second sends occur when
+// replicas fail, which is also when the sets change.
 #include "shallotshift/limits.h"
 
 #include <algorithm>
@@ -15,55 +15,56 @@
 namespace {
 
 constexpr unsigned Daemons = 3;
-constexpr unsigned Window = 2; ///< In steps of the model.
-constexpr unsigned Lag = 1;    ///< A change is seen this much later at most.
-/// A window, and what is looked back over from its first moment.
+constexpr unsigned Window = 2; ///< In steps.
+constexpr unsigned Lag = 1;    ///< Maximum delay until a change is seen.
+/// A window and the look-back span before it.
 constexpr unsigned Steps = Window + 1 + Window + Lag;
 constexpr Duration Step = Seconds(1);
 
-/// What one daemon is granted in each step.
-using Parts = std::array<double, Steps>;
+/// The share granted to one daemon in each step.
+using Shares = std::array<double, Steps>;
 
-/// What a daemon in a set of \p Size is granted; 0: it is not in it.
-double part(unsigned Size) { return Size == 0 ? 0 : 1.0 / Size; }
+/// The share of a daemon in a set of \p Size; 0: it is not in the set.
+double shareForSetSize(unsigned Size) { return Size == 0 ? 0 : 1.0 / Size; }
 
-/// The most that a daemon may use in the last window if it is granted \p P,
-/// and sees it a step late in the steps whose bits are set in \p Late.
-double mostUsed(const Parts &P, unsigned Late) {
+/// The maximum that a daemon granted \p P may use in the last window if it sees
+/// the grant a step late in the steps whose bits are set in \p Late.
+double maxUsed(const Shares &P, unsigned Late) {
   GrantedShare S(Step * int(Window + Lag), P[0]);
-  double Most = 0;
+  double Max = 0;
   for (unsigned I = 0; I < Steps; ++I) {
     unsigned Seen = ((Late >> I) & 1U) && I > 0 ? I - 1 : I;
     Instant Now{Seconds(100) + Step * int(I)};
     S.grant(P[Seen], Now);
     if (I + 1 + Window >= Steps)
-      Most = std::max(Most, S.usable(Now));
+      Max = std::max(Max, S.usable(Now));
   }
-  return Most;
+  return Max;
 }
 
-/// The same for the delays that are worst. What the others see does not change
-/// what a daemon may use, so each daemon's delays are tried by themselves.
-/// \p Sizes: the size of its set in each step as a digit; 0: not in it.
-double worstDelays(unsigned Sizes) {
-  Parts P{};
-  for (double &Part : P) {
-    Part = part(Sizes % (Daemons + 1));
+/// The maximum of maxUsed() over all delays. A daemon's usable share does not
+/// depend on what the others see, so the delays of each daemon are tried
+/// separately. The digits of \p Sizes are the size of the daemon's set in each
+/// step; 0: it is not in the set.
+double maxOverDelays(unsigned Sizes) {
+  Shares P{};
+  for (double &Share : P) {
+    Share = shareForSetSize(Sizes % (Daemons + 1));
     Sizes /= Daemons + 1;
   }
-  double Most = 0;
+  double Max = 0;
   for (unsigned Late = 0; Late < (1U << Steps); ++Late)
-    Most = std::max(Most, mostUsed(P, Late));
-  return Most;
+    Max = std::max(Max, maxUsed(P, Late));
+  return Max;
 }
 
 unsigned power(unsigned Base, unsigned Exponent) {
   return Exponent == 0 ? 1 : Base * power(Base, Exponent - 1);
 }
 
-/// Each set lasts longer than it takes to be seen; the first and the last may
-/// have begun before and go on after.
-bool lasts(unsigned History, unsigned Sets) {
+/// True if each set lasts longer than a change takes to be seen. The first and
+/// the last set may extend beyond the steps.
+bool lastsUntilSeen(unsigned History, unsigned Sets) {
   std::array<unsigned, Steps> Of{};
   for (unsigned &Set : Of) {
     Set = History % Sets;
@@ -77,16 +78,16 @@
 
 } // namespace
 
-TEST_CASE("no order of sets and delays goes over the bound") {
+TEST_CASE("no sequence of sets and delays exceeds the limit") {
   std::vector<double> Worst(power(Daemons + 1, Steps));
   for (unsigned Sizes = 0; Sizes < Worst.size(); ++Sizes)
-    Worst[Sizes] = worstDelays(Sizes);
-  constexpr unsigned Sets = (1U << Daemons) - 1; // As bits, less one.
+    Worst[Sizes] = maxOverDelays(Sizes);
+  constexpr unsigned Sets = (1U << Daemons) - 1; // Non-empty sets.
   double WorstSum = 0;
   unsigned Histories = power(Sets, Steps);
   unsigned Tried = 0;
   for (unsigned History = 0; History < Histories; ++History) {
-    if (!lasts(History, Sets))
+    if (!lastsUntilSeen(History, Sets))
       continue;
     ++Tried;
     std::array<unsigned, Daemons> Sizes{};
@@ -104,10 +105,10 @@
   }
   CHECK(Tried > 1000);
   CHECK(WorstSum <= 1 + 1e-9);
-  CHECK(WorstSum > 1 - 1e-9); // The whole is in use while nothing changes.
+  CHECK(WorstSum > 1 - 1e-9); // Without changes all is used.
 }
 
-TEST_CASE("a share that is lost is not used any more, a gained one rests") {
+TEST_CASE("a decrease applies at once, an increase after the span") {
   GrantedShare S(Seconds(13), 0.01);
   Instant T{Seconds(100)};
   CHECK(S.usable(T) == 0.01);
--- a/tests/failure/ReturnsAreSpread.cpp
+++ b/tests/failure/ReturnsAreSpread.cpp
@@ -1,7 +1,7 @@
-// An upstream sheds work and all daemons see it in the same moment. If they
-// came back in the same moment too, their return would be the next overload:
-// callers would see refusals in waves. Each daemon rests and returns at its own
-// pace, so that the load on the upstream rises steadily.
+// Guards against synchronized returns to an upstream: if all daemons that saw
+// it shed load resumed at the same moment, they would overload it again and
+// callers would see refusals in waves. With random hold and ramp times the load
+// on the upstream must rise steadily.
 #include "shallotshift/limits.h"
 
 #include <cmath>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("1,700 daemons return without a step in load") {
+TEST_CASE("the load of 1,700 daemons rises without a step") {
   Random Rng(5);
   std::vector<SlowStart> Fleet(Daemons);
   Instant Now;
@@ -45,14 +45,14 @@
     MostReturned = std::max(MostReturned, Returned);
     Before = Load;
   }
-  MESSAGE("largest rise in 100 ms ", LargestRise, ", most fully back ",
+  MESSAGE("largest rise in 100 ms ", LargestRise, ", most recovered ",
           MostReturned);
   CHECK(LargestRise <= 0.015);
   CHECK(MostReturned <= 0.03);
   CHECK(Before == doctest::Approx(1));
 }
 
-TEST_CASE("a Retry-After is kept, and one burst of refusals is one sign") {
+TEST_CASE("Retry-After is honoured, and a burst of refusals counts once") {
   Random Rng(5);
   SlowStart S;
   for (int I = 0; I < 100; ++I)
@@ -61,7 +61,7 @@
   CHECK(S.weight(Instant() + Seconds(12)) > ShedFactor);
 }
 
-TEST_CASE("a cold upstream warms up while it still says that it is cold") {
+TEST_CASE("the weight rises while the upstream still reports to be cold") {
   Random Rng(5);
   SlowStart S;
   Instant Now;
--- a/tests/failure/SlotsChangeHands.cpp
+++ b/tests/failure/SlotsChangeHands.cpp
@@ -1,10 +1,9 @@
-// Daemons come and go, and the others learn of it at different times. Without a
-// guard the new holder of a slot starts while the old one still uses it: the
-// upstream gets more requests at a time than it has slots and sheds them. With
-// the guard a gained slot rests until every reachable daemon has the new
-// picture and the work that ran on the slot is done, so the cap holds as long
-// as pictures spread within ViewPropagationTime; beyond that the overshoot is
-// measured.
+// Guards against two daemons using the same slot when the fleet changes and
+// daemons learn of it at different times: the upstream would get more
+// concurrent requests than it has slots and shed them. HandoverGuard must not
+// use a gained slot until every reachable daemon has the new view and the work
+// that ran on the slot has ended. The cap then holds as long as views propagate
+// within ViewPropagationTime; for slower propagation the overshoot is measured.
 #include "AllocationFixture.h"
 
 #include <doctest/doctest.h>
@@ -17,22 +16,22 @@
 constexpr unsigned Daemons = 9;
 constexpr unsigned Views = 12;
 constexpr Duration Tick = Millis(50);
-/// Every sub-request takes the longest time there is.
+/// Every sub-request takes as long as its deadline.
 constexpr Duration Work = Seconds(1);
 const Shape Services{4, 3, 2, 25, 3};
 
-/// One daemon that keeps every slot it may use busy all the time.
+/// A daemon that keeps all its usable slots busy.
 class BusyDaemon {
 public:
   BusyDaemon(DaemonId Id, Duration GuardTime)
       : Id(std::move(Id)), Guard(GuardTime) {}
 
-  void see(const Config &C, const FleetView &V, Instant Now) {
+  void applyView(const Config &C, const FleetView &V, Instant Now) {
     Guard.update(SlotAllocation::make(C, V, Id), Now);
   }
 
-  /// Requests at the upstream: those on usable slots, and those started before
-  /// a slot was lost.
+  /// Number of requests at the upstream: on usable slots, and started before a
+  /// slot was lost.
   unsigned running(const UpstreamId &U, Instant Now) {
     std::vector<Instant> &Until = BusyUntil[U];
     Until.resize(Services.Slots);
@@ -52,29 +51,29 @@
 
   DaemonId Id;
   HandoverGuard Guard;
-  unsigned Seen = 0; ///< Number of the last picture.
+  unsigned Seen = 0; ///< Number of the last view.
 
 private:
   std::map<UpstreamId, std::vector<Instant>> BusyUntil;
 };
 
 struct Overshoot {
-  unsigned Slots = 0;       ///< Most beyond the cap at one upstream.
-  unsigned Connections = 0; ///< Most open at one upstream.
-  unsigned Peak = 0;        ///< Most requests at one upstream.
+  unsigned Slots = 0;       ///< Maximum beyond the cap at an upstream.
+  unsigned Connections = 0; ///< Maximum open at an upstream.
+  unsigned Peak = 0;        ///< Maximum requests at an upstream.
 };
 
-struct Picture {
+struct ViewChange {
   FleetView View;
   std::vector<Instant> SeenAt; ///< By daemon.
 };
 
-std::vector<Picture> randomHistory(Random &Rng, Duration Spread) {
-  std::vector<Picture> Out;
+std::vector<ViewChange> randomHistory(Random &Rng, Duration Spread) {
+  std::vector<ViewChange> Out;
   std::vector<bool> In(Daemons, true);
   Instant At = Instant() + Seconds(20);
   for (unsigned N = 1; N <= Views; ++N) {
-    Picture P;
+    ViewChange P;
     P.View.Number = N;
     if (N > 1)
       In[below(Rng, Daemons)].flip();
@@ -93,7 +92,7 @@
 Overshoot run(std::uint64_t Seed, Duration Spread, Duration GuardTime) {
   Random Rng(Seed);
   ConfigPtr C = config(Services);
-  std::vector<Picture> History = randomHistory(Rng, Spread);
+  std::vector<ViewChange> History = randomHistory(Rng, Spread);
   std::vector<BusyDaemon> Fleet;
   for (unsigned D = 0; D < Daemons; ++D)
     Fleet.emplace_back(daemon(D, Services.Zones).Id, GuardTime);
@@ -102,10 +101,10 @@
   for (Instant Now; Now < End; Now += Tick) {
     for (unsigned D = 0; D < Daemons; ++D) {
       Fleet[D].Guard.due(Now);
-      for (const Picture &P : History)
+      for (const ViewChange &P : History)
         if (P.SeenAt[D] <= Now && P.View.Number > Fleet[D].Seen) {
           Fleet[D].Seen = P.View.Number;
-          Fleet[D].see(*C, P.View, Now);
+          Fleet[D].applyView(*C, P.View, Now);
         }
     }
     eachUpstream(*C, [&](const Upstream &U) {
@@ -144,7 +143,7 @@
 
 } // namespace
 
-TEST_CASE("pictures that spread in time never take an upstream over its cap") {
+TEST_CASE("views that propagate in time never exceed an upstream's cap") {
   Overshoot With = worstOf(ViewPropagationTime, guard());
   Overshoot Without = worstOf(ViewPropagationTime, Duration{0});
   MESSAGE("slots over the cap of ", Services.Slots, ": with guard ", With.Slots,
@@ -156,7 +155,7 @@
   CHECK(With.Connections <= Services.Connections);
 }
 
-TEST_CASE("pictures that come three times too late overshoot a little") {
+TEST_CASE("views that propagate three times too late overshoot a little") {
   Overshoot With = worstOf(3 * ViewPropagationTime, guard());
   Overshoot Without = worstOf(3 * ViewPropagationTime, Duration{0});
   MESSAGE("slots over the cap of ", Services.Slots, ": with guard ", With.Slots,
@@ -166,7 +165,7 @@
   CHECK(With.Connections <= Services.Connections);
 }
 
-TEST_CASE("three regions apart deal every slot once on each side") {
+TEST_CASE("each of three partitions allocates every slot once") {
   ConfigPtr C = config(Services);
   std::map<UpstreamId, Share> Sum;
   for (unsigned Side = 0; Side < 3; ++Side) {
@@ -187,7 +186,8 @@
   }
 }
 
-TEST_CASE("a lost slot is lost at once and a regained one rests again") {
+TEST_CASE(
+    "a lost slot is unusable at once and a regained one is delayed again") {
   ConfigPtr C = config(Services);
   FleetView Six = fleet(6, 3);
   FleetView Many = fleet(18, 3);
--- a/tests/performance/BenchOverload.cpp
+++ b/tests/performance/BenchOverload.cpp
@@ -1,8 +1,8 @@
-// What admission, slot queues and budgets do at and beyond capacity, against a
-// baseline without them in the same run. Virtual time and fixed seeds: the same
-// figures on every machine. Prints "name value unit bound" lines, "-" where
-// nothing is judged, and fails when a bound is broken. Another seed may be
-// given as argument.
+// Goodput and refusals at and beyond capacity, with admission, slot queues and
+// budgets and for a baseline without them. Runs in virtual time with a fixed
+// seed, so results are the same on every machine. Prints lines of "name value
+// unit bound", with "-" for no bound, and fails if a bound is exceeded. An
+// argument sets another seed.
 #include "performance/BenchReport.h"
 #include "performance/OverloadModel.h"
 
@@ -28,8 +28,8 @@
   return double(C.Good) / C.Offered;
 }
 
-/// Goodput by load, ours and the baseline's; returns ours at twice the
-/// capacity and sets the peaks.
+/// Measures goodput by load, with overload control and for the baseline.
+/// Returns the figures with overload control at twice the capacity.
 Figures sweep(double &Peak, double &BasePeak, double &BaseAtTwice) {
   Figures AtTwice;
   for (double Load : {0.5, 0.7, 0.8, 0.9, 1.0, 1.2, 1.5, 2.0}) {
--- a/tests/performance/BenchSlotAllocation.cpp
+++ b/tests/performance/BenchSlotAllocation.cpp
@@ -1,6 +1,6 @@
-// What the deal of slots costs by members and upstreams, and how balanced and
-// stable it is. Time is printed and not judged; bytes and counts are the same
-// on every machine and are. Prints "name value unit bound" lines.
+// Cost, balance and stability of the slot allocation by numbers of members and
+// upstreams. Times are only printed; bytes and counts, which are the same on
+// every machine, are checked. Prints lines of "name value unit bound".
 #include "AllocationFixture.h"
 #include "performance/BenchReport.h"
 
@@ -13,7 +13,7 @@
 
 test::BenchReport Out("allotment_");
 
-/// Milliseconds of one call of \p Fn: the median of nine.
+/// Median time of nine calls of \p Fn, in milliseconds.
 template <typename F> double medianMs(F Fn) {
   std::vector<double> Took;
   for (int I = 0; I < 9; ++I) {
@@ -58,8 +58,8 @@
     measure("near", Daemons, {3300, 3, 2, 25, Daemons < 21 ? 3U : 21U});
   for (unsigned Services : {25, 330, 1100})
     measure("near", 1700, {Services, 3, 2, 25, 21});
-  // Upstreams in four availability zones only: the near daemons are full and
-  // most slots go far.
+  // With upstreams in only four availability zones, the daemons in these reach
+  // their load limits and most slots go to other zones.
   measure("far", 1700, {3300, 3, 2, 25, 4});
   return Out.exitCode();
 }
--- a/tests/performance/OverloadModel.cpp
+++ b/tests/performance/OverloadModel.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const Shape Sizes; // Today's: 25 services of 3 replicas with 2 slots.
+const Shape Sizes; // Current site: 25 services of 3 replicas with 2 slots.
 constexpr unsigned Daemons = 6;
 constexpr Duration Hop = Micros(500); ///< Entry to holder, one way.
 constexpr unsigned BaselineAttempts = 3;
@@ -18,7 +18,7 @@
 const CallerClass Lookup("lookup");
 const CallerClass Pull("routine-pull");
 
-/// Service times: 3 to 9 ms, one in a hundred 10 to 30 times 6 ms.
+/// Service times are 3 to 9 ms, or 10 to 30 times 6 ms for 1 in 100.
 constexpr double MeanServiceMs = 0.99 * 6 + 0.01 * 20 * 6;
 
 ClassPolicy policy(unsigned Priority, Duration Deadline, Duration QueueWait) {
@@ -304,7 +304,7 @@
 
 void Model::loseZone() {
   LostZone = zone(0);
-  // Queries at the entries of the zone are gone with their callers.
+  // Queries at entry daemons in the lost zone are lost too and not counted.
   for (Query &Q : Queries)
     if (Q.Ends == 0 && lost(View.Members[Q.Entry].Zone)) {
       Q.Ends = 1;
