--- a/tests/correctness/QuarantineRecordsAreMerged.cpp
+++ b/tests/correctness/QuarantineRecordsAreMerged.cpp
@@ -1,4 +1,4 @@
-// What identifies a request, and what two daemons know of it together.
+// Fingerprints of requests, and the merging of the evidence of several daemons.
 #include "shallotshift/quarantine.h"
 
 #include <doctest/doctest.h>
@@ -30,14 +30,14 @@
   CHECK(print(One) != print({"GET", "a.example", "/x/1", "me", "else"}));
 }
 
-TEST_CASE("parts of a request do not run into each other") {
+TEST_CASE("parts of a request are kept apart in the fingerprint") {
   CHECK(print({"GET", "a", "/bc", "", ""}) !=
         print({"GET", "a/b", "c", "", ""}));
   CHECK(print({"GET", "a", "/b", "c", ""}) !=
         print({"GET", "a", "/bc", "", ""}));
 }
 
-TEST_CASE("evidence adds up to a standing") {
+TEST_CASE("evidence and trials determine the state") {
   CHECK(record({}).quarantineState() == QuarantineState::Clear);
   CHECK(record({"a", "b"}).quarantineState() == QuarantineState::Suspect);
   QuarantineRecord R = record({"a", "b", "c"});
@@ -49,7 +49,7 @@
   CHECK(R.quarantineState() == QuarantineState::Quarantined);
 }
 
-TEST_CASE("two daemons know together what each knows") {
+TEST_CASE("merging keeps the evidence of both daemons") {
   QuarantineRecord A = record({"a", "c"});
   QuarantineRecord B = record({"a", "b", "d"});
   A.Trials = 1;
@@ -65,7 +65,7 @@
   CHECK(merged(M, B) == M);
 }
 
-TEST_CASE("a record comes back from the store as it was written") {
+TEST_CASE("a record is unchanged after writing and parsing") {
   QuarantineRecord R = record({"i-1@17", "i-2"});
   R.Trials = 1;
   R.SeenAt = 1'700'000'000'000;
@@ -78,7 +78,7 @@
   CHECK(*Read == R);
 }
 
-TEST_CASE("a replica that starts again is another process") {
+TEST_CASE("a restarted replica is a different process") {
   CHECK(processName(UpstreamId("i-1"), 0) == "i-1");
   CHECK(processName(UpstreamId("i-1"), 7) != processName(UpstreamId("i-1"), 8));
 }
--- a/tests/error/QuarantineRecordsAreChecked.cpp
+++ b/tests/error/QuarantineRecordsAreChecked.cpp
@@ -1,6 +1,5 @@
-// Objects of the records' kind may come from another writer. What cannot be
-// read names no request, says which field is at fault, and what is too long is
-// cut.
+// Record objects may be written by other programs. A malformed one is rejected
+// with the name of the faulty field; overlong values are truncated.
 #include "shallotshift/quarantine.h"
 
 #include <doctest/doctest.h>
@@ -23,14 +22,14 @@
 
 } // namespace
 
-TEST_CASE("a name that is no fingerprint is refused") {
+TEST_CASE("a name that is not a fingerprint is rejected") {
   CHECK(read(RecordName, good()));
   for (const char *Bad :
        {"", "abc", "../main", "ZZZZZZZZZZZZZZZZZZZZZZZZZZZZZZZZ"})
     CHECK(read(Bad, good()).error().Code == ResultCode::BadName);
 }
 
-TEST_CASE("a field that is missing or of another type is named") {
+TEST_CASE("a missing or mistyped field is named in the error") {
   for (const char *Field :
        {"crashed", "trials", "proven", "seen_at", "route", "path"}) {
     nlohmann::json Less = good();
@@ -46,7 +45,7 @@
   CHECK_FALSE(read(RecordName, "text"));
 }
 
-TEST_CASE("what another writer put in is bounded") {
+TEST_CASE("values from another writer are bounded") {
   nlohmann::json Large = good();
   Large["crashed"] = nlohmann::json::array();
   for (int N = 0; N < 5000; ++N)
--- a/tests/error/RecordDocumentsAreChecked.cpp
+++ b/tests/error/RecordDocumentsAreChecked.cpp
@@ -1,5 +1,5 @@
-// Another writer, or an older release, leaves something else where the records
-// of deadly searches are. Each mistake has its own code, and nothing throws.
+// Another program or an older release may leave a malformed document at the
+// path of the records. Each kind of error has its own code, and nothing throws.
 #include "shallotshift/crashguard.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("what is no document of records is named") {
+TEST_CASE("a malformed record document is rejected with its code") {
   CHECK(codeOf("") == ResultCode::MalformedJson);
   CHECK(codeOf("{\"revision\":") == ResultCode::MalformedJson);
   CHECK(codeOf("[]") == ResultCode::WrongType);
@@ -29,7 +29,7 @@
   CHECK(codeOf(R"({"revision":1,"records":{}})") == ResultCode::Ok);
 }
 
-TEST_CASE("a document survives the way") {
+TEST_CASE("a document is unchanged after formatting and parsing") {
   RecordSet P{7, {}};
   P.Objects["a"] = {"a", 5, {{"trials", 1}}};
   P.Objects["b"] = {"b", 7, "anything"};
--- a/tests/failure/CrashesAreCountedOnce.cpp
+++ b/tests/failure/CrashesAreCountedOnce.cpp
@@ -1,9 +1,8 @@
-// What callers see: a search whose replicas crashed is refused, and others that
-// ran beside it are served. What happens: the end of one replica process is
-// seen by several daemons, by both sends of a hedged part and by every shard of
-// a query; innocent requests in flight there see it too. Why processes are
-// counted and not losses: one crash would look like three, and a request that
-// is served a moment later would be kept from replicas for good.
+// Guards against counting one crash several times. The end of one replica
+// process is seen by several daemons, by both sends of a hedged request, by
+// every shard of a query, and by harmless requests in flight on that replica.
+// If these were counted instead of processes, one crash would look like three
+// and a harmless request would be quarantined.
 #include "shallotshift/quarantine.h"
 
 #include <doctest/doctest.h>
@@ -52,7 +51,7 @@
   CHECK(Q.quarantineState(request(2)) == QuarantineState::Clear);
 }
 
-TEST_CASE("a run that ends well voids what was held against a request") {
+TEST_CASE("a successful run voids the evidence against a request") {
   Quarantine Q;
   Q.crashed(seen("i-1"));
   Q.crashed(seen("i-2"));
@@ -63,7 +62,7 @@
   CHECK_FALSE(Q.succeeded(request()));
 }
 
-TEST_CASE("a request that was served elsewhere costs no write") {
+TEST_CASE("evidence is not written before it is marked as shared") {
   Quarantine Q;
   Q.crashed(seen("i-1"));
   CHECK_FALSE(Q.nextWrite());
@@ -76,7 +75,8 @@
   CHECK_FALSE(Q.nextWrite());
 }
 
-TEST_CASE("a success removes the shared record, and counts at once") {
+TEST_CASE(
+    "a success clears the request at once and removes the shared record") {
   Quarantine Q;
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   CHECK(Q.succeeded(request()));
@@ -85,7 +85,7 @@
   REQUIRE(W);
   CHECK(W->Removes);
   CHECK(W->Revision == 5);
-  // Meanwhile another daemon added to it: that is removed as well.
+  // Evidence that another daemon added meanwhile is removed as well.
   Q.put(shared({"i-1", "i-2", "i-4"}, 6));
   CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   CHECK(Q.nextWrite()->Revision == 6);
@@ -95,7 +95,7 @@
   CHECK(Q.shared() == 0);
 }
 
-TEST_CASE("a success while the record is being written voids it as well") {
+TEST_CASE("a success during a write of the record voids the record too") {
   Quarantine Q;
   Q.crashed(seen("i-1"));
   Q.share(request());
@@ -104,7 +104,7 @@
   Q.writeStarted(request());
   Q.succeeded(request());
   CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
-  Q.put({W->Record, 5}); // The store has it now.
+  Q.put({W->Record, 5}); // The write was applied.
   Q.writeEnded(request());
   CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
   REQUIRE(Q.nextWrite());
@@ -114,7 +114,7 @@
   CHECK(Q.size() == 0);
 }
 
-TEST_CASE("a list that lacks a record forgets it") {
+TEST_CASE("a record missing from the store's list is removed") {
   Quarantine Q;
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   Q.put(shared({"i-1"}, 6, 2));
@@ -123,24 +123,24 @@
   CHECK(Q.quarantineState(request(2)) == QuarantineState::Suspect);
 }
 
-TEST_CASE("an older state of a record is ignored") {
+TEST_CASE("an older revision of a record is ignored") {
   Quarantine Q;
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   Q.put(shared({"i-1"}, 4));
   CHECK(Q.quarantineState(request()) == QuarantineState::OnTrial);
 }
 
-TEST_CASE("news of the store that is older than a record takes nothing back") {
+TEST_CASE("a removal or list older than a record does not remove it") {
   Quarantine Q;
-  Q.put(shared({"i-1", "i-2", "i-3"}, 9)); // Written by this daemon itself.
-  Q.remove(request(), 8);                  // It had been removed before that.
+  Q.put(shared({"i-1", "i-2", "i-3"}, 9)); // Written by this daemon.
+  Q.remove(request(), 8);                  // An earlier removal.
   Q.replaceAll({}, 8);
   CHECK(Q.quarantineState(request()) == QuarantineState::OnTrial);
   Q.replaceAll({}, 9);
   CHECK(Q.quarantineState(request()) == QuarantineState::Clear);
 }
 
-TEST_CASE("a suspicion is forgotten, and what is more than one is not") {
+TEST_CASE("a suspicion expires, a request on trial does not") {
   Quarantine Q;
   Q.put(shared({"i-1"}, 5, 1));
   Q.put(shared({"i-1", "i-2", "i-3"}, 6, 2));
@@ -148,7 +148,7 @@
   Q.expire(1000 + EvidenceLifetimeMs, true);
   CHECK(Q.size() == 3);
   Q.expire(1001 + EvidenceLifetimeMs, false);
-  CHECK(Q.size() == 2); // Removing from the store is another daemon's.
+  CHECK(Q.size() == 2); // Another daemon removes it from the store.
   CHECK_FALSE(Q.nextWrite());
   Q.expire(1001 + EvidenceLifetimeMs, true);
   REQUIRE(Q.nextWrite());
@@ -156,7 +156,7 @@
   CHECK(Q.quarantineState(request(2)) == QuarantineState::OnTrial);
 }
 
-TEST_CASE("a request whose trials told nothing is tried again after a while") {
+TEST_CASE("inconclusive trials are renewed after the evidence lifetime") {
   Quarantine Q;
   SharedRecord Untold = shared({"i-1", "i-2", "i-3"}, 5);
   Untold.Record.Trials = MaxTrials;
@@ -166,7 +166,7 @@
   Q.put(Guilty);
   WallTime Later = 1001 + EvidenceLifetimeMs;
   Q.expire(Later, false);
-  CHECK_FALSE(Q.nextWrite()); // Renewing is another daemon's.
+  CHECK_FALSE(Q.nextWrite()); // Another daemon renews them.
   Q.expire(Later, true);
   auto W = Q.nextWrite();
   REQUIRE(W);
@@ -181,7 +181,7 @@
   CHECK_FALSE(Q.nextWrite());
 }
 
-TEST_CASE("a trial that reached no replica is given back, once") {
+TEST_CASE("a trial that reached no replica is returned only once") {
   Quarantine Q;
   Q.put(shared({"i-1", "i-2", "i-3"}, 5));
   auto Granted = Q.trialWrite(request());
@@ -192,13 +192,14 @@
   REQUIRE(W);
   CHECK(W->Revision == 6);
   CHECK(W->Record.Trials == 0);
-  // The reply to this write may be lost after it was done: it is not repeated.
+  // Its reply may be lost after the write was applied, so it is not repeated.
   Q.writeStarted(request());
   Q.writeEnded(request());
   CHECK_FALSE(Q.nextWrite());
 }
 
-TEST_CASE("a flood of distinct requests is bounded, here and in the store") {
+TEST_CASE(
+    "a flood of distinct requests is bounded in the daemon and the store") {
   Quarantine Q;
   for (int N = 0; N < int(MaxEntries) + 500; ++N)
     Q.crashed(seen("i-1", N));
@@ -211,7 +212,7 @@
   auto W = Full.nextWrite();
   REQUIRE(W);
   CHECK(W->Removes);
-  CHECK(W->Record.Request == request(0)); // The oldest gives way.
+  CHECK(W->Record.Request == request(0)); // The oldest is evicted.
   Full.remove(request(0), 1);
   W = Full.nextWrite();
   REQUIRE(W);
--- a/tests/failure/QuarantineWritesAreBounded.cpp
+++ b/tests/failure/QuarantineWritesAreBounded.cpp
@@ -1,10 +1,10 @@
-// What callers see: a request that crashes replicas is refused everywhere, and
-// during a flood of distinct ones the store goes on serving the configuration.
-// What happens: replies of the store are lost after a write was done, daemons
-// write the same record at one moment, and hundreds of requests fail in a
-// second. Why a write names what it read: its second copy, or another daemon's,
-// is seen as that and merged, and whoever does not know whether it was granted
-// a trial makes none.
+// Guards against lost, doubled or unlimited writes of quarantine records.
+// Replies of the store are lost after a write was applied, daemons write the
+// same record at the same moment, and hundreds of distinct requests fail per
+// second, while the store must go on serving the configuration. Each write
+// names the revision it is based on, so a repeated or concurrent write is
+// detected and merged, and a daemon that does not know whether a trial was
+// granted makes none.
 #include "VirtualTime.h"
 #include "shallotshift/crashguard.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Records in virtual time, with replies that can be lost.
+/// A store of records in virtual time whose replies can be lost.
 struct FakeRecords : test::VirtualTime {
   void writeObject(const std::string &, const std::string &Name,
                    const nlohmann::json &Content, std::uint64_t If,
@@ -31,7 +31,7 @@
 
   unsigned Calls = 0;
   unsigned LoseReplies = 0;
-  bool Away = false;
+  bool Unavailable = false;
   std::map<std::string, KindObject> Objects;
 
 private:
@@ -39,7 +39,7 @@
               StoreCallback<KindWriteReply> Done,
               const std::function<void()> &Apply) {
     ++Calls;
-    if (Away)
+    if (Unavailable)
       return fail(std::move(Done), "away");
     auto At = Objects.find(Name);
     std::uint64_t Has = At == Objects.end() ? 0 : At->second.Revision;
@@ -94,11 +94,12 @@
     return *R;
   }
   std::optional<bool> trial(Daemon &D) {
-    auto Said = std::make_shared<std::optional<bool>>();
-    D.Sync.requestTrial(request(), [Said](bool Granted) { *Said = Granted; });
-    CHECK_FALSE(*Said); // Never before it returns.
+    auto Result = std::make_shared<std::optional<bool>>();
+    D.Sync.requestTrial(request(),
+                        [Result](bool Granted) { *Result = Granted; });
+    CHECK_FALSE(*Result); // Never before requestTrial() returns.
     Store.runFor(Seconds(3));
-    return *Said;
+    return *Result;
   }
 
   FakeRecords Store;
@@ -108,7 +109,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SyncFixture, "two daemons' evidence ends up in one record") {
+TEST_CASE_FIXTURE(SyncFixture,
+                  "two daemons' evidence is merged into one record") {
   crash(A, "i-1");
   crash(B, "i-2");
   Store.runFor(Seconds(1));
@@ -116,45 +118,43 @@
   CHECK(B.Table.crashesOf(request()) == 2);
 }
 
-TEST_CASE_FIXTURE(SyncFixture, "a write whose reply is lost is done once") {
+TEST_CASE_FIXTURE(SyncFixture, "a write whose reply is lost is applied once") {
   Store.LoseReplies = 1;
   crash(A, "i-1");
   Store.runFor(Seconds(5));
   CHECK(stored().Crashed == std::vector<std::string>{"i-1"});
-  CHECK(Store.Calls == 2); // The second met the first one's effect.
+  CHECK(Store.Calls == 2); // The second conflicted with the first.
   Store.runFor(Seconds(5));
   CHECK(Store.Calls == 2);
 }
 
-TEST_CASE_FIXTURE(SyncFixture,
-                  "what could not be written is, after an outage") {
-  Store.Away = true;
+TEST_CASE_FIXTURE(SyncFixture, "a pending write is made after an outage") {
+  Store.Unavailable = true;
   crash(A, "i-1");
   Store.runFor(Seconds(8));
-  Store.Away = false;
+  Store.Unavailable = false;
   Store.runFor(Seconds(3));
   CHECK(stored().Crashed.size() == 1);
 }
 
-TEST_CASE_FIXTURE(SyncFixture,
-                  "a trial that is not known to be granted is not") {
+TEST_CASE_FIXTURE(SyncFixture, "a trial without confirmation is not granted") {
   for (const char *Process : {"i-1", "i-2", "i-3"})
     crash(A, Process);
   Store.runFor(Seconds(1));
-  SUBCASE("granted, and counted") {
+  SUBCASE("granted and counted") {
     CHECK(trial(A) == true);
     CHECK(stored().Trials == 1);
   }
-  SUBCASE("the reply is lost: it counts and is not made") {
+  SUBCASE("reply lost: counted but not granted") {
     Store.LoseReplies = 1;
     CHECK(trial(A) == false);
     CHECK(stored().Trials == 1);
   }
-  SUBCASE("the store is away") {
-    Store.Away = true;
+  SUBCASE("the store is unavailable") {
+    Store.Unavailable = true;
     CHECK(trial(A) == false);
   }
-  SUBCASE("others have made them all") {
+  SUBCASE("all trials have been made") {
     REQUIRE(trial(A) == true);
     REQUIRE(trial(A) == true);
     CHECK(trial(A) == false);
@@ -162,7 +162,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(SyncFixture, "a flood of distinct requests writes little") {
+TEST_CASE_FIXTURE(SyncFixture,
+                  "writes are bounded in a flood of distinct requests") {
   A.Sync.setMembers(6);
   for (int N = 0; N < 900; ++N) {
     crash(A, "i-1", N);
@@ -171,11 +172,11 @@
     A.Sync.tick(0, false);
   }
   CHECK(Store.Calls <= WriteBurst + MaxWritesPerSecond * 10 + 1);
-  // Of a fleet at the size that is aimed at, all together.
+  // All daemons of a fleet of the target size together.
   CHECK(1669 * MinWritesPerSecond <= FleetWritesPerSecond);
 }
 
-TEST_CASE_FIXTURE(SyncFixture, "a record that cannot be read is replaced") {
+TEST_CASE_FIXTURE(SyncFixture, "a malformed record is replaced") {
   Store.Objects[request().str()] = {request().str(), 9, "no record"};
   crash(A, "i-1");
   Store.runFor(Seconds(5));
--- a/tests/failure/RecordsShareOneObject.cpp
+++ b/tests/failure/RecordsShareOneObject.cpp
@@ -1,9 +1,8 @@
-// What callers see: a search that crashes upstreams is refused everywhere,
-// though the store of this deployment knows single objects only. What happens:
-// daemons write their records into one document at the same moment, replies are
-// lost after the write was done, and daemons are behind. Why nothing is lost: a
-// write replaces the version that it was made from, and one that meets another
-// is made anew on top of it, as long as its own record is as it was.
+// Guards against losing records when all share one document because the store
+// has only single objects. Daemons write their records at the same moment,
+// replies are lost after the write was applied, and daemons have outdated
+// state. A write is conditional on the version it is based on; after a conflict
+// it is repeated on top of the other write if its own record is unchanged.
 #include "FakeObjectStore.h"
 #include "shallotshift/crashguard.h"
 
@@ -21,12 +20,13 @@
 
   Reply write(Document &D, const std::string &Name, int Value,
               std::uint64_t Revision) {
-    auto Said = std::make_shared<std::optional<Attempt<KindWriteReply>>>();
-    D.writeObject("records", Name, Value, Revision,
-                  [Said](Attempt<KindWriteReply> R) { *Said = std::move(R); });
-    return Said;
+    auto Result = std::make_shared<std::optional<Attempt<KindWriteReply>>>();
+    D.writeObject(
+        "records", Name, Value, Revision,
+        [Result](Attempt<KindWriteReply> R) { *Result = std::move(R); });
+    return Result;
   }
-  /// All that the store has, by a daemon that has just started.
+  /// The records in the store, as read by a newly started daemon.
   std::map<std::string, int> stored() {
     std::map<std::string, int> Values;
     Store.read("q/r", [&](const Attempt<StoredObject> &Now) {
@@ -49,7 +49,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(Fixture, "records of daemons that write at once all stay") {
+TEST_CASE_FIXTURE(Fixture,
+                  "concurrent writes of different records are all kept") {
   Reply First = write(A, "x", 1, 0);
   Reply Second = write(B, "y", 2, 0);
   Reply Third = write(B, "z", 3, 0);
@@ -60,7 +61,8 @@
   CHECK(stored() == std::map<std::string, int>{{"x", 1}, {"y", 2}, {"z", 3}});
 }
 
-TEST_CASE_FIXTURE(Fixture, "of two writes of one record one is done") {
+TEST_CASE_FIXTURE(Fixture,
+                  "of two concurrent writes of one record one is applied") {
   Reply First = write(A, "x", 1, 0);
   Reply Second = write(B, "x", 2, 0);
   Store.run();
@@ -74,24 +76,26 @@
   CHECK(stored() == std::map<std::string, int>{{"x", 2}});
 }
 
-TEST_CASE_FIXTURE(Fixture, "a daemon that is behind reads before it says so") {
+TEST_CASE_FIXTURE(Fixture,
+                  "an outdated daemon rereads before it reports a conflict") {
   Reply First = write(A, "x", 1, 0);
   Store.run();
   REQUIRE(applied(First));
-  // Told of the revision, by a peer's record, before of the document.
+  // It learned the revision from a peer's record before the document.
   Reply Next = write(B, "x", 2, (**First)->Now->Revision);
   Store.run();
   CHECK(applied(Next));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a write whose reply is lost is found to be done") {
+TEST_CASE_FIXTURE(Fixture,
+                  "a write whose reply is lost is found to be applied") {
   Store.OnCall = [](const FakeCall &C) {
     return C.Number == 1 ? Fault::LostReply : Fault::None;
   };
   Reply First = write(A, "x", 1, 0);
   Store.run();
   REQUIRE(*First);
-  CHECK_FALSE(**First); // Whether it was done is not known.
+  CHECK_FALSE(**First); // Unknown whether it was applied.
   Reply Again = write(A, "x", 1, 0);
   Store.run();
   CHECK_FALSE(applied(Again));
@@ -100,7 +104,7 @@
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "each newer state is news, and an older one is not") {
+                  "each newer state is reported, an older one is not") {
   std::vector<std::uint64_t> Seen;
   B.onChange([&](const RecordSet &P) { Seen.push_back(P.Revision); });
   write(A, "x", 1, 0);
@@ -114,7 +118,7 @@
   CHECK(Seen == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE_FIXTURE(Fixture, "a document that was removed begins anew") {
+TEST_CASE_FIXTURE(Fixture, "a removed document is created again") {
   write(A, "x", 1, 0);
   Store.run();
   Store.remove("q/r", Precondition::ifAbsent(), [](const Attempt<Done> &) {});
@@ -124,7 +128,7 @@
   CHECK(stored() == std::map<std::string, int>{{"y", 2}});
 }
 
-TEST_CASE_FIXTURE(Fixture, "a document that cannot be read gives way") {
+TEST_CASE_FIXTURE(Fixture, "a malformed document is replaced") {
   Store.write("q/r", "no JSON", Precondition::ifAbsent(),
               [](const Attempt<std::uint64_t> &) {});
   Reply Next = write(A, "x", 1, 0);
--- a/tests/failure/TrialsAreBoundedInTheFleet.cpp
+++ b/tests/failure/TrialsAreBoundedInTheFleet.cpp
@@ -1,9 +1,9 @@
-// What callers see: replicas stay up although the same query of death comes to
-// many daemons at once, some of which have just started or hear of its record
-// late. What happens: daemons race for the trials of one request; replies of
-// the store are lost after the write was done. Why a conditional write decides:
-// of any number of daemons that read the same revision one wins, and whoever
-// does not know whether it won sends nothing.
+// Guards against more than MaxTrials trials of a query of death in the fleet.
+// The request reaches many daemons at once, some of which have just started or
+// learn of its record late; they race for its trials, and replies of the store
+// are lost after the write was applied. Trials are granted by conditional
+// writes: of any number of daemons that read the same revision one wins, and a
+// daemon that does not know whether it won sends nothing.
 #include "shallotshift/quarantine.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The store: records by request, under one revision counter.
+/// A store of records by request with one revision counter.
 struct Store {
   std::map<RequestFingerprint, SharedRecord> Records;
   std::uint64_t Revision = 10;
@@ -38,24 +38,24 @@
   }
 };
 
-RequestFingerprint deadly() {
+RequestFingerprint crashingRequest() {
   return RequestFingerprint::of({"GET", "a.example", "/deadly", "", ""});
 }
 
 struct Fleet {
   explicit Fleet(unsigned Daemons) : Tables(Daemons) {}
 
-  /// One daemon's next step, as the draw has it.
+  /// A random step of a random daemon.
   void step(Random &Rng) {
     Quarantine &Q = Tables[below(Rng, Tables.size())];
     switch (below(Rng, 6)) {
-    case 0: // It hears from the store.
-      Q.replaceAll(Shop.all(), Shop.Revision);
+    case 0: // It reads the store.
+      Q.replaceAll(Shared.all(), Shared.Revision);
       return;
-    case 1: // It is killed and starts without a memory.
+    case 1: // It is killed and restarts without state.
       Q = Quarantine();
       return;
-    case 2: // It writes what the others should know.
+    case 2: // It writes shared evidence.
       writeNext(Q, Rng);
       return;
     default:
@@ -63,67 +63,67 @@
     }
   }
 
-  /// The store's answer may be lost, whether the write was done or not.
+  /// Makes a write whose reply may be lost, whether it was applied or not.
   void writeNext(Quarantine &Q, Random &Rng) {
     auto W = Q.nextWrite();
     if (!W)
       return;
-    Q.writeStarted(deadly());
-    Shop.write(*W);
-    auto Now = Shop.Records.find(deadly());
-    if (below(Rng, 3) != 0 && Now != Shop.Records.end())
+    Q.writeStarted(crashingRequest());
+    Shared.write(*W);
+    auto Now = Shared.Records.find(crashingRequest());
+    if (below(Rng, 3) != 0 && Now != Shared.Records.end())
       Q.put(Now->second);
-    Q.writeEnded(deadly());
+    Q.writeEnded(crashingRequest());
   }
 
-  /// The request comes to a daemon.
+  /// The request arrives at a daemon.
   void attempt(Quarantine &Q, Random &Rng) {
-    switch (Q.quarantineState(deadly())) {
+    switch (Q.quarantineState(crashingRequest())) {
     case QuarantineState::Quarantined:
       return;
     case QuarantineState::OnTrial:
       return onTrial(Q, Rng);
     default:
-      ++Usual;
+      ++RegularSends;
       crash(Q);
-      Q.share(deadly());
+      Q.share(crashingRequest());
     }
   }
 
   void onTrial(Quarantine &Q, Random &Rng) {
-    auto W = Q.trialWrite(deadly());
-    if (!W || !Shop.write(*W))
+    auto W = Q.trialWrite(crashingRequest());
+    if (!W || !Shared.write(*W))
       return;
     if (below(Rng, 4) == 0)
-      return;                 // The reply is lost: nothing is sent.
-    if (below(Rng, 4) == 0) { // No replica is up: it reaches none.
-      Q.put(Shop.Records.at(deadly()));
-      Q.trialUnused(deadly());
+      return;                 // The reply is lost; nothing is sent.
+    if (below(Rng, 4) == 0) { // No replica is up.
+      Q.put(Shared.Records.at(crashingRequest()));
+      Q.trialUnused(crashingRequest());
       return;
     }
     ++Trials;
     if (below(Rng, 3) == 0)
-      return; // The replica was full: it tells nothing.
+      return; // The replica was full; inconclusive.
     crash(Q);
-    Q.trialCrashed(deadly());
+    Q.trialCrashed(crashingRequest());
   }
 
   void crash(Quarantine &Q) {
-    QuarantineRecord R{deadly()};
+    QuarantineRecord R{crashingRequest()};
     R.Crashed = {"i-" + std::to_string(++Processes)};
     Q.crashed(R);
   }
 
   std::vector<Quarantine> Tables;
-  Store Shop;
-  unsigned Usual = 0;
+  Store Shared;
+  unsigned RegularSends = 0;
   unsigned Trials = 0;
   unsigned Processes = 0;
 };
 
 } // namespace
 
-TEST_CASE("the whole fleet makes no more trials than there are") {
+TEST_CASE("the whole fleet makes at most MaxTrials trials") {
   for (std::uint64_t Seed = 1; Seed <= 400; ++Seed) {
     CAPTURE(Seed);
     Random Rng(Seed);
@@ -134,50 +134,50 @@
   }
 }
 
-TEST_CASE("once all have heard of it nothing is sent beyond the trials") {
+TEST_CASE("once all daemons have the record only trials are sent") {
   for (std::uint64_t Seed = 1; Seed <= 200; ++Seed) {
     CAPTURE(Seed);
     Random Rng(Seed);
     Fleet F(4);
-    // Until the store has three crashes; then everybody hears of them.
-    while (F.Shop.Records.empty() ||
-           F.Shop.Records.begin()->second.Record.Crashed.size() <
+    // Until the store has three crashes, which all daemons then learn of.
+    while (F.Shared.Records.empty() ||
+           F.Shared.Records.begin()->second.Record.Crashed.size() <
                CrashThreshold)
       F.step(Rng);
     for (Quarantine &Q : F.Tables)
-      Q.replaceAll(F.Shop.all(), F.Shop.Revision);
-    unsigned UsualBefore = F.Usual;
+      Q.replaceAll(F.Shared.all(), F.Shared.Revision);
+    unsigned RegularBefore = F.RegularSends;
     for (int Step = 0; Step < 200; ++Step) {
       Quarantine &Q = F.Tables[below(Rng, F.Tables.size())];
-      if (below(Rng, 5) == 0) { // A start reads the list before it is ready.
+      if (below(Rng, 5) == 0) { // A restart reads the list first.
         Q = Quarantine();
-        Q.replaceAll(F.Shop.all(), F.Shop.Revision);
+        Q.replaceAll(F.Shared.all(), F.Shared.Revision);
       }
       F.attempt(Q, Rng);
       F.writeNext(Q, Rng);
       if (below(Rng, 3) == 0)
-        Q.replaceAll(F.Shop.all(), F.Shop.Revision);
+        Q.replaceAll(F.Shared.all(), F.Shared.Revision);
     }
-    CHECK(F.Usual == UsualBefore);
+    CHECK(F.RegularSends == RegularBefore);
     CHECK(F.Trials <= MaxTrials);
   }
 }
 
-TEST_CASE("a trial that ends well gives the request back to everybody") {
+TEST_CASE("a successful trial clears the request on all daemons") {
   Fleet F(3);
   for (int N = 0; N < 3; ++N)
     F.crash(F.Tables[0]);
-  F.Tables[0].share(deadly());
-  REQUIRE(F.Shop.write(*F.Tables[0].nextWrite()));
+  F.Tables[0].share(crashingRequest());
+  REQUIRE(F.Shared.write(*F.Tables[0].nextWrite()));
   for (Quarantine &Q : F.Tables)
-    Q.replaceAll(F.Shop.all(), F.Shop.Revision);
+    Q.replaceAll(F.Shared.all(), F.Shared.Revision);
   Quarantine &Q = F.Tables[1];
-  REQUIRE(F.Shop.write(*Q.trialWrite(deadly())));
-  Q.replaceAll(F.Shop.all(), F.Shop.Revision);
-  Q.succeeded(deadly());
-  REQUIRE(F.Shop.write(*Q.nextWrite()));
+  REQUIRE(F.Shared.write(*Q.trialWrite(crashingRequest())));
+  Q.replaceAll(F.Shared.all(), F.Shared.Revision);
+  Q.succeeded(crashingRequest());
+  REQUIRE(F.Shared.write(*Q.nextWrite()));
   for (Quarantine &Each : F.Tables) {
-    Each.replaceAll(F.Shop.all(), F.Shop.Revision);
-    CHECK(Each.quarantineState(deadly()) == QuarantineState::Clear);
+    Each.replaceAll(F.Shared.all(), F.Shared.Revision);
+    CHECK(Each.quarantineState(crashingRequest()) == QuarantineState::Clear);
   }
 }
--- a/tests/performance/BenchQuarantine.cpp
+++ b/tests/performance/BenchQuarantine.cpp
@@ -1,7 +1,7 @@
-// What records of requests that crash replicas cost a fleet of the size that is
-// aimed at: memory, bytes and calls, in a flood in which every request is
-// another one and crashes what runs it. In virtual time; the bounds are shares
-// of what a daemon may spend on control.
+// Cost of quarantine records in a fleet of the target size: memory, bytes and
+// store calls during a flood in which every request is distinct and crashes its
+// replica. Runs in virtual time; the bounds are fractions of a daemon's budget
+// for control work.
 #include "VirtualTime.h"
 #include "shallotshift/crashguard.h"
 
@@ -17,10 +17,10 @@
 namespace {
 
 constexpr std::size_t Daemons = 1669;
-constexpr std::size_t MostHeapBytes = (128 << 20) / 16;
-constexpr double MostBytesPerSecond = 15'000;
+constexpr std::size_t MaxHeapBytes = (128 << 20) / 16;
+constexpr double MaxBytesPerSecond = 15'000;
 constexpr int FloodSeconds = 120;
-/// Distinct deadly requests that come to each daemon in a second.
+/// Distinct crashing requests per second at each daemon.
 constexpr int FloodPerSecond = 2;
 
 RequestFingerprint request(int N) {
@@ -39,7 +39,7 @@
   return R;
 }
 
-/// The store, which counts what it is asked to pass on to all.
+/// A store that counts the writes and bytes it distributes to all daemons.
 struct Store : test::VirtualTime {
   std::map<std::string, KindObject> Objects;
   std::uint64_t Revision = 0;
@@ -67,9 +67,9 @@
   }
 };
 
-/// A carrier of callers; what it has seen and not shared is its own.
-struct Carrier {
-  explicit Carrier(Store &S) : Sync(S, S, "records", Table, Rng) {
+/// A daemon with its own table of evidence.
+struct SimulatedDaemon {
+  explicit SimulatedDaemon(Store &S) : Sync(S, S, "records", Table, Rng) {
     Sync.setMembers(Daemons);
   }
   Random Rng{7};
@@ -79,10 +79,10 @@
 
 std::size_t heapInUse() { return mallinfo2().uordblks; }
 
-bool judge(const char *What, double Value, double Most, const char *Unit) {
-  bool Good = Value <= Most;
+bool withinBound(const char *What, double Value, double Max, const char *Unit) {
+  bool Good = Value <= Max;
   fmt::print("{:<52} {:>12.1f} {:<6} at most {:.0f}{}\n", What, Value, Unit,
-             Most, Good ? "" : "  BROKEN");
+             Max, Good ? "" : "  BROKEN");
   return Good;
 }
 
@@ -101,9 +101,9 @@
   for (int Round = 0; Round < Rounds; ++Round)
     Table->expire(1'780'172'520'131, true);
   auto Took = std::chrono::steady_clock::now() - Start;
-  fmt::print("one look for what is too old: {:.3f} ms\n",
+  fmt::print("one pass over the table for expired evidence: {:.3f} ms\n",
              toMillisF(std::chrono::duration_cast<Duration>(Took)) / Rounds);
-  return judge("heap of a full table", Bytes, double(MostHeapBytes), "B");
+  return withinBound("heap of a full table", Bytes, double(MaxHeapBytes), "B");
 }
 
 bool bytesOfARecord() {
@@ -115,20 +115,20 @@
   double Bytes = double(formatRecordSet(Page).size());
   fmt::print("bytes of a record in the store: {:.0f}\n",
              Bytes / double(MaxSharedRecords));
-  // What the platform's store takes in one object.
-  return judge("one object with all records", Bytes, 1'000'000, "B");
+  // The platform's limit on the size of one object.
+  return withinBound("one object with all records", Bytes, 1'000'000, "B");
 }
 
 bool flood() {
   Store S;
-  std::vector<std::unique_ptr<Carrier>> Fleet;
+  std::vector<std::unique_ptr<SimulatedDaemon>> Fleet;
   for (std::size_t N = 0; N < Daemons; ++N)
-    Fleet.push_back(std::make_unique<Carrier>(S));
+    Fleet.push_back(std::make_unique<SimulatedDaemon>(S));
   int Next = 0;
   std::uint64_t LastWrites = 0;
   std::uint64_t LastBytes = 0;
   for (int Second = 0; Second < FloodSeconds; ++Second) {
-    if (Second == FloodSeconds / 2) { // What may go at once has gone.
+    if (Second == FloodSeconds / 2) { // The initial bursts are over.
       LastWrites = S.Writes;
       LastBytes = S.Bytes;
     }
@@ -143,12 +143,12 @@
   }
   double HalfSeconds = double(FloodSeconds) / 2;
   fmt::print("writes in the first minute: {}\n", LastWrites);
-  bool Writes = judge("writes to the store in a flood, a second",
-                      double(S.Writes - LastWrites) / HalfSeconds,
-                      FleetWritesPerSecond, "/s");
-  bool Bytes = judge("records passed on to each daemon in a flood",
-                     double(S.Bytes - LastBytes) / HalfSeconds,
-                     MostBytesPerSecond, "B/s");
+  bool Writes = withinBound("writes to the store in a flood, a second",
+                            double(S.Writes - LastWrites) / HalfSeconds,
+                            FleetWritesPerSecond, "/s");
+  bool Bytes = withinBound("record bytes sent to each daemon in a flood",
+                           double(S.Bytes - LastBytes) / HalfSeconds,
+                           MaxBytesPerSecond, "B/s");
   return Writes && Bytes;
 }
 
