--- a/packages/limits/SlotAllocation.h
+++ b/packages/limits/SlotAllocation.h
@@ -1,20 +1,18 @@
 //===- SlotAllocation.h - Upstream slots held by each daemon ----*- C++ -*-===//
 //
-// The slots and connections of an upstream are limits on the whole fleet. Every
-// daemon computes the allocation of all of them by the same pure function of
-// the configuration and its view of the fleet, so no coordinator is needed and
-// daemons with the same view agree. A daemon that holds a slot sends to the
-// upstream itself; any other relays through a holder.
+// Slots and connections of an upstream are limits on the whole fleet. Every
+// daemon allocates all of them by the same pure function of the configuration
+// and its view of the fleet, so no coordinator is needed and daemons with the
+// same view agree. A daemon that holds a slot sends to the upstream itself;
+// any other relays through a holder.
 //
 // The allocation, service by service:
-//   1. If there are at least as many slots as daemons, each daemon gets the
-//      same whole number of slots, preferably of upstreams in its own
-//      availability zone.
-//   2. Each remaining slot goes to the daemon with the highest rendezvous
-//      weight that has none of the remainder yet: in the upstream's
-//      availability zone if a daemon there is below its load limit, otherwise
-//      anywhere. Load limits (LoadHeadroom) balance the fleet over all
-//      services.
+//   1. With at least as many slots as daemons each daemon gets the same whole
+//      number of slots, of upstreams in its own availability zone first.
+//   2. Each slot that is left goes to the daemon of highest rendezvous weight
+//      that has none of the remainder yet, in the upstream's availability zone
+//      if one there is below its load limit, else anywhere. Load limits
+//      (LoadHeadroom) keep the fleet balanced over all services.
 //
 // The weight depends on the host and not on the incarnation, so a restarted
 // daemon gets the same slots back. Holders in the upstream's zone fail together
