--- a/packages/crashguard/QuarantineSync.h
+++ b/packages/crashguard/QuarantineSync.h
@@ -29,8 +29,8 @@
 /// Bounds of one daemon's write rate, whatever the size of the fleet. Each
 /// written record is sent to all daemons, so even in a fleet of thousands it is
 /// the fleet's rate that must stay bounded.
-inline constexpr double MinWritesPerSecond = 0.02;
-inline constexpr double MaxWritesPerSecond = 2;
+inline constexpr double MinDaemonWritesPerSecond = 0.02;
+inline constexpr double MaxDaemonWritesPerSecond = 2;
 /// Burst of writes of one daemon; a request that crashes replicas takes three
 /// or four.
 inline constexpr double WriteBurst = 12;
@@ -46,7 +46,7 @@
                  Random &Rng)
       : T(T), S(S), Kind(std::move(Kind)), Table(Table), Rng(Rng),
         RetryBackoff(FirstBackoff, MaxBackoff),
-        Writes(MaxWritesPerSecond, WriteBurst, T.now()) {}
+        Writes(MaxDaemonWritesPerSecond, WriteBurst, T.now()) {}
   QuarantineSync(const QuarantineSync &) = delete;
   QuarantineSync &operator=(const QuarantineSync &) = delete;
 
@@ -54,8 +54,9 @@
   void setMembers(std::size_t Count) {
     double Share =
         FleetWritesPerSecond / double(std::max<std::size_t>(1, Count));
-    Writes.setRate(std::clamp(Share, MinWritesPerSecond, MaxWritesPerSecond),
-                   T.now());
+    Writes.setRate(
+        std::clamp(Share, MinDaemonWritesPerSecond, MaxDaemonWritesPerSecond),
+        T.now());
   }
 
   /// Makes the next pending write, if any.
--- a/packages/quarantine/Quarantine.cpp
+++ b/packages/quarantine/Quarantine.cpp
@@ -66,7 +66,7 @@
 void Quarantine::crashed(const QuarantineRecord &Seen) {
   auto At = Entries.find(Seen.Request);
   if (At == Entries.end()) {
-    if (Entries.size() >= MaxEntries)
+    if (Entries.size() >= MaxQuarantineEntries)
       return;
     At = Entries.emplace(Seen.Request, Entry{Seen}).first;
   } else {
--- a/packages/quarantine/Quarantine.h
+++ b/packages/quarantine/Quarantine.h
@@ -22,8 +22,8 @@
 // daemons ended, they are renewed after EvidenceLifetimeMs: the request may be
 // harmless.
 //
-// A flood of distinct requests is bounded to MaxEntries entries of a few
-// hundred bytes in the daemon and MaxSharedRecords objects in the store;
+// A flood of distinct requests is bounded to MaxQuarantineEntries entries of a
+// few hundred bytes in the daemon and MaxSharedRecords objects in the store;
 // unproven records are evicted first, then the oldest.
 //
 //===----------------------------------------------------------------------===//
@@ -42,7 +42,7 @@
 /// a broken release. A starting daemon reads about 300 KB of records.
 inline constexpr std::size_t MaxSharedRecords = 1000;
 /// Maximum number of requests with evidence in one daemon, shared or not.
-inline constexpr std::size_t MaxEntries = 4000;
+inline constexpr std::size_t MaxQuarantineEntries = 4000;
 /// Time in milliseconds after which unconfirmed evidence expires and
 /// inconclusive trials are renewed. A proven record stays until an operator
 /// removes it: without it the request would crash as many replicas again.
--- a/tests/failure/CrashesAreCountedOnce.cpp
+++ b/tests/failure/CrashesAreCountedOnce.cpp
@@ -201,9 +201,9 @@
 TEST_CASE(
     "a flood of distinct requests is bounded in the daemon and the store") {
   Quarantine Q;
-  for (int N = 0; N < int(MaxEntries) + 500; ++N)
+  for (int N = 0; N < int(MaxQuarantineEntries) + 500; ++N)
     Q.crashed(seen("i-1", N));
-  CHECK(Q.size() == MaxEntries);
+  CHECK(Q.size() == MaxQuarantineEntries);
   Quarantine Full;
   for (int N = 0; N < int(MaxSharedRecords); ++N)
     Full.put(shared({"i-1"}, N + 1, N, 1000 + N));
--- a/tests/failure/QuarantineWritesAreBounded.cpp
+++ b/tests/failure/QuarantineWritesAreBounded.cpp
@@ -171,9 +171,9 @@
       Store.runFor(Seconds(1));
     A.Sync.tick(0, false);
   }
-  CHECK(Store.Calls <= WriteBurst + MaxWritesPerSecond * 10 + 1);
+  CHECK(Store.Calls <= WriteBurst + MaxDaemonWritesPerSecond * 10 + 1);
   // All daemons of a fleet of the target size together.
-  CHECK(1669 * MinWritesPerSecond <= FleetWritesPerSecond);
+  CHECK(1669 * MinDaemonWritesPerSecond <= FleetWritesPerSecond);
 }
 
 TEST_CASE_FIXTURE(SyncFixture, "a malformed record is replaced") {
--- a/tests/performance/BenchQuarantine.cpp
+++ b/tests/performance/BenchQuarantine.cpp
@@ -89,7 +89,7 @@
 bool memoryOfOneDaemon() {
   std::size_t Before = heapInUse();
   auto Table = std::make_unique<Quarantine>();
-  for (int N = 0; N < int(MaxEntries) * 2; ++N) {
+  for (int N = 0; N < int(MaxQuarantineEntries) * 2; ++N) {
     Table->crashed(record(N));
     if (N < int(MaxSharedRecords))
       Table->put({record(N), std::uint64_t(N) + 1});
