--- a/packages/crashguard/QuarantineGate.cpp
+++ b/packages/crashguard/QuarantineGate.cpp
@@ -5,28 +5,33 @@
 
 namespace {
 
-/// Of a path in a record, for operators.
-constexpr std::size_t MostPathBytes = 120;
+/// Maximum length of a path in a record.
+constexpr std::size_t MaxPathBytes = 120;
 
-/// An attempt whose replica crashed is usually served by another one within
-/// this. What is not cleared by then is shared, also while the attempt waits:
-/// at a replica that hangs it may wait for as long as its caller does.
-constexpr Duration ClearedWithin = Millis(300);
+/// Delay before evidence is shared. An attempt whose replica crashed is usually
+/// served by another one within this time and cleared. Evidence that is not
+/// cleared by then is shared even if the attempt is still running: at a replica
+/// that hangs it may run for as long as its caller waits.
+constexpr Duration ShareDelay = Millis(300);
 
 } // namespace
 
-void QuarantineGate::connect(TrialFn Trial, std::function<void()> Unwritten) {
+void QuarantineGate::connect(TrialFn Trial,
+                             std::function<void()> PendingWrite) {
   OnTrial = std::move(Trial);
-  OnUnwritten = std::move(Unwritten);
+  OnPendingWrite = std::move(PendingWrite);
 }
 
-Caution QuarantineGate::cautionFor(const NamedRequest &R, bool Trial) const {
+SendRestriction QuarantineGate::restrictionFor(const RequestAttempt &R,
+                                               bool Trial) const {
   if (Trial)
-    return Caution::OneSend;
-  return standing(R) == Standing::Clear ? Caution::None : Caution::OneAtATime;
+    return SendRestriction::OneSend;
+  return quarantineState(R) == QuarantineState::Clear
+             ? SendRestriction::None
+             : SendRestriction::OneAtATime;
 }
 
-void QuarantineGate::requestTrial(const NamedRequest &R, TrialCallback Done) {
+void QuarantineGate::requestTrial(const RequestAttempt &R, TrialCallback Done) {
   auto OnDecision = [this, R, Done = std::move(Done)](bool Granted) {
     Meter.count("shallot_quarantine_trials_total",
                 {{"granted", Granted ? "yes" : "no"}});
@@ -34,52 +39,52 @@
     Done(Granted);
   };
   if (OnTrial)
-    OnTrial(R.Print, std::move(OnDecision));
+    OnTrial(R.Fingerprint, std::move(OnDecision));
   else
     Loop.post([OnDecision = std::move(OnDecision)] { OnDecision(false); });
 }
 
-void QuarantineGate::trialUnused(const NamedRequest &R) {
-  Table.trialUnused(R.Print);
+void QuarantineGate::trialUnused(const RequestAttempt &R) {
+  Table.trialUnused(R.Fingerprint);
   logStanding(R, "trial_unused");
-  unwritten();
+  notifyPendingWrite();
 }
 
-void QuarantineGate::crashed(const NamedRequest &R,
+void QuarantineGate::crashed(const RequestAttempt &R,
                              const EndedProcess &Process) {
-  QuarantineRecord Seen{R.Print};
+  QuarantineRecord Seen{R.Fingerprint};
   Seen.Crashed = {Process.Name};
   Seen.SeenAt = Loop.wallTime();
   Seen.Route = R.Route;
-  Seen.Path = R.Path.substr(0, MostPathBytes);
+  Seen.Path = R.Path.substr(0, MaxPathBytes);
   Table.crashed(Seen);
-  Unshared.push_back({R.Print, Loop.now() + ClearedWithin});
+  Unshared.push_back({R.Fingerprint, Loop.now() + ShareDelay});
   if (!ShareTimer.pending())
-    ShareTimer = Loop.after(ClearedWithin, [this] { shareOverdue(); });
+    ShareTimer = Loop.after(ShareDelay, [this] { shareOverdue(); });
   Meter.count("shallot_replica_crashes_seen_total", {{"route", R.Route}});
   logEvent(LogLevel::Warn, "replica_crashed",
            {{"replica", Process.Name},
             {"service", Process.Service.str()},
             {"id", R.Id},
-            {"fingerprint", R.Print.str()},
-            {"standing", std::string(standingName(standing(R)))},
+            {"fingerprint", R.Fingerprint.str()},
+            {"standing", std::string(quarantineStateName(quarantineState(R)))},
             {"crashes", std::to_string(crashesOf(R))}});
 }
 
 void QuarantineGate::share(const RequestFingerprint &R) {
   Table.share(R);
-  unwritten();
+  notifyPendingWrite();
 }
 
-void QuarantineGate::unwritten() const {
-  if (OnUnwritten)
-    OnUnwritten();
+void QuarantineGate::notifyPendingWrite() const {
+  if (OnPendingWrite)
+    OnPendingWrite();
 }
 
 void QuarantineGate::shareOverdue() {
   Instant Now = Loop.now();
   while (!Unshared.empty() && Unshared.front().ShareAt <= Now) {
-    share(Unshared.front().Print);
+    share(Unshared.front().Fingerprint);
     Unshared.pop_front();
   }
   if (!Unshared.empty())
@@ -87,37 +92,37 @@
         Loop.after(Unshared.front().ShareAt - Now, [this] { shareOverdue(); });
 }
 
-void QuarantineGate::succeeded(const NamedRequest &R) {
-  if (!Table.succeeded(R.Print))
+void QuarantineGate::succeeded(const RequestAttempt &R) {
+  if (!Table.succeeded(R.Fingerprint))
     return;
   logStanding(R, "request_cleared");
-  unwritten();
+  notifyPendingWrite();
 }
 
-void QuarantineGate::attemptFailed(const NamedRequest &R, bool Trial,
+void QuarantineGate::attemptFailed(const RequestAttempt &R, bool Trial,
                                    bool First) {
   if (Trial)
-    Table.trialCrashed(R.Print);
-  share(R.Print);
+    Table.trialCrashed(R.Fingerprint);
+  share(R.Fingerprint);
   if (First)
     logStanding(R, "request_suspected");
 }
 
 void QuarantineGate::writeGauges(Metrics &Into) const {
-  for (Standing S :
-       {Standing::Suspect, Standing::OnTrial, Standing::Quarantined})
+  for (QuarantineState S : {QuarantineState::Suspect, QuarantineState::OnTrial,
+                            QuarantineState::Quarantined})
     Into.gauge("shallot_quarantine_requests",
-               {{"standing", std::string(standingName(S))}},
+               {{"standing", std::string(quarantineStateName(S))}},
                double(Table.count(S)));
 }
 
-void QuarantineGate::logStanding(const NamedRequest &R,
+void QuarantineGate::logStanding(const RequestAttempt &R,
                                  std::string_view Event) {
   logEvent(LogLevel::Warn, Event,
            {{"id", R.Id},
-            {"fingerprint", R.Print.str()},
+            {"fingerprint", R.Fingerprint.str()},
             {"route", R.Route},
-            {"standing", std::string(standingName(standing(R)))},
+            {"standing", std::string(quarantineStateName(quarantineState(R)))},
             {"crashes", std::to_string(crashesOf(R))}});
 }
 
--- a/packages/ctl/QuarantineCommands.cpp
+++ b/packages/ctl/QuarantineCommands.cpp
@@ -11,27 +11,27 @@
 using nlohmann::json;
 
 /// The document of all records. Without one there are no records.
-Result<RecordPage> readPage(Session &S) {
+Result<RecordSet> readPage(Session &S) {
   using Read = Attempt<StoredObject>;
   Read Stored = S.await<Read>([&](const std::function<void(Read)> &Go) {
     S.platform().read(std::string(RecordsPath), Go);
   });
   if (!Stored && Stored.error().Code == ResultCode::PlatformNotFound)
-    return RecordPage();
+    return RecordSet();
   BOOST_LEAF_AUTO(Object, resultOf(std::move(Stored)));
-  return readRecordPage(Object.Value);
+  return parseRecordSet(Object.Value);
 }
 
 json recordDoc(const QuarantineRecord &R) {
   json Doc = recordContent(R);
   Doc["fingerprint"] = R.Request.str();
-  Doc["standing"] = standingName(R.standing());
+  Doc["standing"] = quarantineStateName(R.quarantineState());
   return Doc;
 }
 
 std::string recordLine(const QuarantineRecord &R) {
   return fmt::format("{}  {:<11}  {} crashed, {} trials  last {}  {} {}\n",
-                     R.Request.str(), standingName(R.standing()),
+                     R.Request.str(), quarantineStateName(R.quarantineState()),
                      R.Crashed.size(), R.Trials, shownTime(R.SeenAt), R.Route,
                      R.Path);
 }
--- a/packages/daemon/SearchService.cpp
+++ b/packages/daemon/SearchService.cpp
@@ -20,7 +20,7 @@
 
 /// The same search whoever carries it: ids, deadlines and classes are of one
 /// attempt. What is asked of other services is another search.
-NamedRequest nameOf(const Search &S) {
+RequestAttempt nameOf(const Search &S) {
   std::string Target = std::string(SearchPath) + "?services=";
   for (const ServiceName &Name : S.Services)
     Target += Name.str() + ",";
@@ -30,11 +30,12 @@
 
 /// What is not sent because of its standing: a trial may be granted soon, and
 /// coming back is of no use to what is kept from upstreams.
-AdmissionDecision refusalFor(Standing S) {
-  if (S == Standing::Quarantined)
+AdmissionDecision refusalFor(QuarantineState S) {
+  if (S == QuarantineState::Quarantined)
     return AdmissionDecision::refuse(ResultCode::RequestQuarantined,
                                      Duration(0));
-  return AdmissionDecision::refuse(ResultCode::TrialUnavailable, TrialRetry);
+  return AdmissionDecision::refuse(ResultCode::TrialUnavailable,
+                                   TrialRetryDelay);
 }
 
 } // namespace
@@ -67,7 +68,7 @@
 
 SearchService::SearchId SearchService::search(Search S, Callback Done) {
   SearchId Id = ++LastId;
-  NamedRequest Name = nameOf(S);
+  RequestAttempt Name = nameOf(S);
   Run R(std::move(S), std::move(Name), std::move(Done), Loop.now());
   Active.emplace(Id, std::move(R));
   vet(Id);
@@ -78,14 +79,14 @@
 /// A search under which upstreams crashed is refused at once, or waits for the
 /// grant of a trial; it takes no place among those that wait for their turn.
 void SearchService::vet(SearchId Id) {
-  switch (Crashes.standing(Active.at(Id).Name)) {
-  case Standing::Clear:
-  case Standing::Suspect:
+  switch (Crashes.quarantineState(Active.at(Id).Name)) {
+  case QuarantineState::Clear:
+  case QuarantineState::Suspect:
     return admit(Id);
-  case Standing::OnTrial:
+  case QuarantineState::OnTrial:
     return askTrial(Id);
-  case Standing::Quarantined:
-    return refuse(Id, refusalFor(Standing::Quarantined));
+  case QuarantineState::Quarantined:
+    return refuse(Id, refusalFor(QuarantineState::Quarantined));
   }
 }
 
@@ -95,11 +96,11 @@
     trialAnswered(Id, Name, Granted);
   };
   R.TrialAsked = true;
-  R.TrialWait = Loop.after(MostTrialWait, [OnDecision] { OnDecision(false); });
+  R.TrialWait = Loop.after(MaxTrialWait, [OnDecision] { OnDecision(false); });
   Crashes.requestTrial(R.Name, OnDecision);
 }
 
-void SearchService::trialAnswered(SearchId Id, const NamedRequest &Name,
+void SearchService::trialAnswered(SearchId Id, const RequestAttempt &Name,
                                   bool Granted) {
   auto At = Active.find(Id);
   if (At == Active.end() || !At->second.TrialAsked) {
@@ -114,10 +115,10 @@
   R.Trial = Granted;
   if (Granted)
     admit(Id);
-  else if (Crashes.standing(Name) != Standing::OnTrial)
+  else if (Crashes.quarantineState(Name) != QuarantineState::OnTrial)
     vet(Id); // Others have cleared or proven it meanwhile.
   else
-    refuse(Id, refusalFor(Standing::OnTrial));
+    refuse(Id, refusalFor(QuarantineState::OnTrial));
   turn();
 }
 
@@ -146,15 +147,15 @@
   Spec.Body = R.Request.Body;
   Spec.TraceParent = R.Request.TraceParent;
   Spec.Parts = StrategyParts::of(Treatment);
-  Spec.Care = Crashes.cautionFor(R.Name, R.Trial);
+  Spec.Care = Crashes.restrictionFor(R.Name, R.Trial);
   Spec.CrashedBefore = Crashes.crashesOf(R.Name);
   return Spec;
 }
 
 void SearchService::start(SearchId Id) {
   Run &R = Active.at(Id);
-  Standing Now = Crashes.standing(R.Name);
-  if (Now >= Standing::OnTrial && !R.Trial) {
+  QuarantineState Now = Crashes.quarantineState(R.Name);
+  if (Now >= QuarantineState::OnTrial && !R.Trial) {
     // Upstreams crashed under other attempts while it waited for its turn.
     Gate->cancel(Id);
     return refuse(Id, refusalFor(Now));
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -25,7 +25,7 @@
 //
 // A request whose replicas crash may be what crashes them. From the first crash
 // on, and until a run of it ends well, it is at one replica at a time, is not
-// hedged, and is given up when EnoughCrashes replicas have ended under it
+// hedged, and is given up when CrashThreshold replicas have ended under it
 // (package quarantine). A request that only ran beside the guilty one needs one
 // reply for all of its parts to go on at once.
 //
@@ -103,7 +103,7 @@
   const Route *Matched = nullptr; ///< Of Config.
   Instant Arrived;
   Duration CallerWaits{}; ///< The caller's own deadline, from Arrived.
-  Caution Care = Caution::None;
+  SendRestriction Care = SendRestriction::None;
   unsigned CrashedBefore = 0; ///< Replicas, in earlier attempts.
 };
 
@@ -166,7 +166,7 @@
 
   /// Replicas crashed under earlier attempts, \p Before of them. To be called
   /// before begin().
-  void beCareful(Caution Care, unsigned Before) {
+  void beCareful(SendRestriction Care, unsigned Before) {
     Request.Care = Care;
     Request.CrashedBefore = Before;
   }
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -173,7 +173,7 @@
   /// Ticks from one comparison with the peers to the next: each copies the
   /// revisions of every member.
   static constexpr unsigned CompareEvery = 2;
-  static constexpr unsigned SyncEvery = QuarantineTick / FeedTick;
+  static constexpr unsigned SyncEvery = QuarantineSyncInterval / FeedTick;
 
   static KindWatchOptions options(Duration Pause) {
     KindWatchOptions O;
@@ -303,7 +303,8 @@
     if (Name)
       logEvent(LogLevel::Info, "quarantine_record",
                {{"fingerprint", Name->str()},
-                {"standing", std::string(standingName(Table.standing(*Name)))},
+                {"standing", std::string(quarantineStateName(
+                                 Table.quarantineState(*Name)))},
                 {"revision", std::to_string(C.Object.Revision)}});
   }
 
--- a/packages/quarantine/QuarantineRecord.cpp
+++ b/packages/quarantine/QuarantineRecord.cpp
@@ -19,8 +19,9 @@
 constexpr char RouteField[] = "route";
 constexpr char PathField[] = "path";
 
-/// What a name or path of another writer may take in every daemon's memory.
-constexpr std::size_t LongestText = 160;
+/// Truncates names and paths written by others: every daemon keeps them in
+/// memory.
+constexpr std::size_t MaxTextBytes = 160;
 
 Result<Json> field(const Json &Content, const char *Name,
                    bool (Json::*HasType)() const noexcept) {
@@ -34,7 +35,7 @@
 
 Result<std::string> textField(const Json &Content, const char *Name) {
   BOOST_LEAF_AUTO(V, field(Content, Name, &Json::is_string));
-  return V.get<std::string>().substr(0, LongestText);
+  return V.get<std::string>().substr(0, MaxTextBytes);
 }
 
 Result<std::vector<std::string>> crashedField(const Json &Content) {
@@ -43,8 +44,8 @@
   for (const Json &Item : List) {
     if (!Item.is_string())
       return fail(ResultCode::WrongType, CrashedField);
-    if (Names.size() < EnoughCrashes)
-      Names.push_back(Item.get<std::string>().substr(0, LongestText));
+    if (Names.size() < CrashThreshold)
+      Names.push_back(Item.get<std::string>().substr(0, MaxTextBytes));
   }
   std::ranges::sort(Names);
   Names.erase(std::unique(Names.begin(), Names.end()), Names.end());
@@ -53,28 +54,29 @@
 
 } // namespace
 
-std::string_view standingName(Standing S) {
+std::string_view quarantineStateName(QuarantineState S) {
   switch (S) {
-  case Standing::Clear:
+  case QuarantineState::Clear:
     return "clear";
-  case Standing::Suspect:
+  case QuarantineState::Suspect:
     return "suspect";
-  case Standing::OnTrial:
+  case QuarantineState::OnTrial:
     return "on trial";
-  case Standing::Quarantined:
+  case QuarantineState::Quarantined:
     return "quarantined";
   }
   return {};
 }
 
-Standing QuarantineRecord::standing() const {
+QuarantineState QuarantineRecord::quarantineState() const {
   if (Proven)
-    return Standing::Quarantined;
+    return QuarantineState::Quarantined;
   if (Crashed.empty())
-    return Standing::Clear;
-  if (Crashed.size() < EnoughCrashes)
-    return Standing::Suspect;
-  return Trials < MostTrials ? Standing::OnTrial : Standing::Quarantined;
+    return QuarantineState::Clear;
+  if (Crashed.size() < CrashThreshold)
+    return QuarantineState::Suspect;
+  return Trials < MaxTrials ? QuarantineState::OnTrial
+                            : QuarantineState::Quarantined;
 }
 
 std::string processName(const UpstreamId &Id, std::uint64_t StartedUnixMs) {
@@ -86,9 +88,9 @@
   QuarantineRecord M = A;
   M.Crashed.clear();
   std::ranges::set_union(A.Crashed, B.Crashed, std::back_inserter(M.Crashed));
-  // The same ones everywhere, so that equal evidence makes equal records.
-  if (M.Crashed.size() > EnoughCrashes)
-    M.Crashed.resize(EnoughCrashes);
+  // Sorted before truncation, so that equal evidence gives equal records.
+  if (M.Crashed.size() > CrashThreshold)
+    M.Crashed.resize(CrashThreshold);
   M.Trials = std::max(A.Trials, B.Trials);
   M.Proven = A.Proven || B.Proven;
   M.SeenAt = std::max(A.SeenAt, B.SeenAt);
@@ -109,12 +111,13 @@
                                     const Json &Content) {
   BOOST_LEAF_AUTO(Request, RequestFingerprint::parse(Name));
   if (!Content.is_object())
-    return fail(ResultCode::WrongType, "a quarantine record is an object");
+    return fail(ResultCode::WrongType,
+                "a quarantine record must be a JSON object");
   QuarantineRecord R{std::move(Request)};
   BOOST_LEAF_ASSIGN(R.Crashed, crashedField(Content));
   BOOST_LEAF_AUTO(Trials,
                   field(Content, TrialsField, &Json::is_number_unsigned));
-  R.Trials = std::min(Trials.get<std::uint64_t>(), std::uint64_t{MostTrials});
+  R.Trials = std::min(Trials.get<std::uint64_t>(), std::uint64_t{MaxTrials});
   BOOST_LEAF_AUTO(Proven, field(Content, ProvenField, &Json::is_boolean));
   R.Proven = Proven.get<bool>();
   BOOST_LEAF_AUTO(Seen, field(Content, SeenField, &Json::is_number_integer));
--- a/tests/correctness/SlotsAreAllocatedOnce.cpp
+++ b/tests/correctness/SlotsAreAllocatedOnce.cpp
@@ -1,5 +1,6 @@
-// Every daemon with the same picture computes the same deal: all slots of each
-// upstream, each once, and no more connections than the upstream accepts.
+// All daemons with the same view compute the same allocation. It covers all
+// slots of each upstream exactly once and no more connections than the upstream
+// accepts.
 #include "AllocationFixture.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +10,7 @@
 
 namespace {
 
-void checkCaps(const Config &C, const Allotment &A) {
+void checkCaps(const Config &C, const SlotAllocation &A) {
   eachUpstream(C, [&](const Upstream &U) {
     unsigned Slots = 0;
     unsigned Connections = 0;
@@ -25,7 +26,8 @@
 
 } // namespace
 
-TEST_CASE("random fleets deal every slot once and stay within connections") {
+TEST_CASE(
+    "random fleets allocate every slot once and stay within connections") {
   Random Rng(7);
   for (int Round = 0; Round < 200; ++Round) {
     Shape S;
@@ -35,9 +37,9 @@
     S.Connections = S.Slots + below(Rng, 20);
     S.Zones = 1 + below(Rng, 4);
     ConfigPtr C = config(S);
-    // Daemons may be in zones without upstreams and the other way round.
+    // Daemons may be in zones without upstreams, and vice versa.
     FleetView V = fleet(1 + below(Rng, 40), 1 + below(Rng, 5));
-    Allotment A = Allotment::make(*C, V, V.Members[0].Id);
+    SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
     checkCaps(*C, A);
     unsigned PerService = S.Replicas * S.Slots;
     if (PerService < V.Members.size())
@@ -54,11 +56,12 @@
   }
 }
 
-TEST_CASE("today's six daemons hold one slot of each service, of a near one") {
+TEST_CASE(
+    "the current six daemons hold one slot of each service, in their zone") {
   ConfigPtr C = config(Shape());
   FleetView V = fleet(6, 3);
-  Allotment A = Allotment::make(*C, V, V.Members[2].Id);
-  CHECK(A.mine().size() == 25);
+  SlotAllocation A = SlotAllocation::make(*C, V, V.Members[2].Id);
+  CHECK(A.heldBySelf().size() == 25);
   eachUpstream(*C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id)) {
       CHECK(H.Daemon->Zone == U->Zone);
@@ -68,7 +71,7 @@
   });
 }
 
-TEST_CASE("only members that take new work hold slots, one for each host") {
+TEST_CASE("only members that take new work hold slots, one per host") {
   ConfigPtr C = config(Shape());
   FleetView V = fleet(6, 3);
   V.Members[0].State = MemberState::Leaving;
@@ -76,8 +79,8 @@
   Member Restarted = V.Members[2];
   Restarted.Id.Incarnation = 2;
   V.Members.push_back(Restarted);
-  Allotment A = Allotment::make(*C, V, V.Members[0].Id);
-  CHECK(A.mine().empty());
+  SlotAllocation A = SlotAllocation::make(*C, V, V.Members[0].Id);
+  CHECK(A.heldBySelf().empty());
   eachUpstream(*C, [&](const Upstream &U) {
     for (const Holder &H : A.holders(U->Id)) {
       CHECK(takesNewWork(*H.Daemon));
@@ -85,5 +88,5 @@
     }
   });
   checkCaps(*C, A);
-  CHECK(Allotment::make(*C, FleetView(), DaemonId()).mine().empty());
+  CHECK(SlotAllocation::make(*C, FleetView(), DaemonId()).heldBySelf().empty());
 }
--- a/tests/fuzz/DocumentTargets.cpp
+++ b/tests/fuzz/DocumentTargets.cpp
@@ -162,10 +162,10 @@
 /// Another writer's record takes bounded memory and never says more than it
 /// may.
 void quarantineRecords(const std::string &Input) {
-  auto Page = attempt([&] { return readRecordPage(Input); });
+  auto Page = attempt([&] { return parseRecordSet(Input); });
   if (!Page)
     return;
-  auto Back = attempt([&] { return readRecordPage(recordPageText(*Page)); });
+  auto Back = attempt([&] { return parseRecordSet(formatRecordSet(*Page)); });
   require(Back && *Back == *Page, "a document survives the way");
   Quarantine Table;
   for (const auto &Item : Page->Objects) {
@@ -173,10 +173,10 @@
     auto R = attempt([&] { return readRecord(Object.Name, Object.Content); });
     if (!R)
       continue;
-    require(R->Crashed.size() <= EnoughCrashes, "processes are bounded");
-    require(R->Trials <= MostTrials, "trials are bounded");
+    require(R->Crashed.size() <= CrashThreshold, "processes are bounded");
+    require(R->Trials <= MaxTrials, "trials are bounded");
     Table.put({*R, Object.Revision});
-    require(Table.standing(R->Request) == R->standing(),
+    require(Table.quarantineState(R->Request) == R->quarantineState(),
             "it counts as it says");
   }
   require(Table.size() <= Page->Objects.size(), "one entry a record");
