--- a/packages/daemon/Api.cpp
+++ b/packages/daemon/Api.cpp
@@ -207,7 +207,7 @@
       P.Fleet.View, queryValue(Request.Query, "key"),
       AvailabilityZone(queryValue(Request.Query, "zone")),
       [&](const DaemonId &Id) {
-        return P.Control.membership().warmth(Id, Entries.options().WarmUp, Now);
+        return P.Control.membership().warmUpFraction(Id, Entries.options().WarmUp, Now);
       });
   if (A.Addresses.empty())
     return problemReply(ResultCode::NotReady, "no daemon is ready yet", {},
--- a/packages/daemon/ControlPlane.cpp
+++ b/packages/daemon/ControlPlane.cpp
@@ -103,7 +103,7 @@
 void ControlPlane::apply(const MembershipOutput &Out) {
   for (const MembershipEvent &E : Out.Events) {
     std::string By = E.By.empty() ? "" : " (by " + E.By.str() + ")";
-    Events.add(isTrouble(E.Kind) ? LogLevel::Warn : LogLevel::Info,
+    Events.add(isWarning(E.Kind) ? LogLevel::Warn : LogLevel::Info,
                {Loop.wallTime(), std::string(eventName(E.Kind)), E.Who.str(),
                 E.Evidence + By});
   }
@@ -183,7 +183,7 @@
   Instant Now = Loop.now();
   if (Members.mayAct(Now))
     return true;
-  *Why = {ResultCode::StaleDaemon, Members.whyNot(Now)};
+  *Why = {ResultCode::StaleDaemon, Members.refusalReason(Now)};
   return false;
 }
 
--- a/packages/fleet/Membership.cpp
+++ b/packages/fleet/Membership.cpp
@@ -59,7 +59,7 @@
   return EventNames.at(static_cast<std::size_t>(Kind));
 }
 
-bool isTrouble(MembershipEventKind Kind) {
+bool isWarning(MembershipEventKind Kind) {
   switch (Kind) {
   case MembershipEventKind::Failed:
   case MembershipEventKind::Accused:
@@ -154,8 +154,8 @@
 
 const FleetView &Membership::view() const { return I->Table.view(); }
 const Member &Membership::self() const { return I->Self.Who; }
-bool Membership::mayAct(Instant Now) const { return I->whyNot(Now).empty(); }
-std::string Membership::whyNot(Instant Now) const { return I->whyNot(Now); }
+bool Membership::mayAct(Instant Now) const { return I->refusalReason(Now).empty(); }
+std::string Membership::refusalReason(Instant Now) const { return I->refusalReason(Now); }
 bool Membership::settled(Instant Now) const { return I->settled(Now); }
 std::size_t Membership::peersHeard() const { return I->peersHeard(); }
 std::size_t Membership::peersKnown() const { return I->peersKnown(); }
@@ -170,7 +170,7 @@
   return Configs;
 }
 
-double Membership::warmth(const DaemonId &Who, Duration WarmUp,
+double Membership::warmUpFraction(const DaemonId &Who, Duration WarmUp,
                           Instant Now) const {
   const internal::MemberRecord *R = I->Table.find(Who.Host);
   if (!R || !R->AliveSince || WarmUp <= Duration(0))
--- a/packages/fleet/Membership.h
+++ b/packages/fleet/Membership.h
@@ -56,7 +56,7 @@
   unsigned IndirectProbes = 3;
   /// A member of another region is probed in one round of so many; its own
   /// region probes it in each. Regions of a few members are probed by all.
-  unsigned FarProbeRounds = 1;
+  unsigned CrossRegionProbeRounds = 1;
   /// Time to refute = SuspicionPeriods x log10(members, at least 10) x mean
   /// period when several accuse, twice as long when one does.
   double SuspicionPeriods = 3;
@@ -114,7 +114,7 @@
 
 /// True for events that an operator should look at; the others are the usual
 /// coming and going.
-bool isTrouble(MembershipEventKind Kind);
+bool isWarning(MembershipEventKind Kind);
 
 /// The state's name for people and in JSON, such as "leaving".
 std::string_view stateName(MemberState S);
@@ -192,7 +192,7 @@
   /// pause.
   bool mayAct(Instant Now) const;
   /// Why mayAct() is false, for the refusal; empty when it is true.
-  std::string whyNot(Instant Now) const;
+  std::string refusalReason(Instant Now) const;
   /// True when the view is fit to decide from after a start: a peer's table
   /// equals ours, or every seed was tried and none answered, and nobody new
   /// was found for SettleTime.
@@ -208,7 +208,7 @@
   unsigned localHealth() const;
   /// Share of full entry weight from 0 to 1: grows over \p WarmUp since the
   /// member became Alive as seen here; 1 for members found already Alive.
-  double warmth(const DaemonId &Who, Duration WarmUp, Instant Now) const;
+  double warmUpFraction(const DaemonId &Who, Duration WarmUp, Instant Now) const;
   /// Bytes held, estimated.
   std::size_t memoryBytes() const;
 
--- a/packages/fleet/MembershipNews.cpp
+++ b/packages/fleet/MembershipNews.cpp
@@ -130,7 +130,7 @@
   return Table.live() - (Self.Who.State == MemberState::Left ? 0 : 1);
 }
 
-std::string Membership::Impl::whyNot(Instant Now) const {
+std::string Membership::Impl::refusalReason(Instant Now) const {
   if (IsSuperseded)
     return "a later run of this host is in the fleet";
   if (Now - LastRunAt > Options.PauseThreshold)
--- a/packages/fleet/MembershipProbes.cpp
+++ b/packages/fleet/MembershipProbes.cpp
@@ -346,7 +346,7 @@
   };
   // With few members in its own region a daemon would reach next to nobody.
   return Reg == Self.Who.Reg || Few(Reg) || Few(Self.Who.Reg) ||
-         below(Rng, Options.FarProbeRounds) == 0;
+         below(Rng, Options.CrossRegionProbeRounds) == 0;
 }
 
 /// Each live peer once in an order drawn anew for each round, so that the
--- a/packages/fleet/MembershipState.h
+++ b/packages/fleet/MembershipState.h
@@ -83,7 +83,7 @@
   void heardAnew(const HostId &Host, std::uint64_t Sequence, Instant Now);
   std::size_t peersHeard() const;
   bool settled(Instant Now) const;
-  std::string whyNot(Instant Now) const;
+  std::string refusalReason(Instant Now) const;
   MembershipOutput take(std::uint64_t NumberBefore);
 
   // MembershipProbes.cpp: who answers.
--- a/packages/front/FleetLink.cpp
+++ b/packages/front/FleetLink.cpp
@@ -37,7 +37,7 @@
   O.MinPeriod = Millis(300);
   O.MaxPeriod = Millis(600);
   O.SuspicionPeriods = 2;
-  O.FarProbeRounds = 8;
+  O.CrossRegionProbeRounds = 8;
   O.SettleTime = Millis(600);
   O.TombstoneProbePeriod = Seconds(1);
   return O;
@@ -110,7 +110,7 @@
 
 void FleetLink::apply(const MembershipOutput &Out) {
   for (const MembershipEvent &E : Out.Events) {
-    logEvent(isTrouble(E.Kind) ? LogLevel::Warn : LogLevel::Info,
+    logEvent(isWarning(E.Kind) ? LogLevel::Warn : LogLevel::Info,
              eventName(E.Kind),
              {{"daemon", E.Who.str()},
               {"by", E.By.str()},
--- a/tests/failure/PausedDaemonWaits.cpp
+++ b/tests/failure/PausedDaemonWaits.cpp
@@ -17,7 +17,7 @@
   CHECK(Bag.at(2).mayAct(Bag.Now));
   CHECK(Bag.at(2).mayAct(Bag.Now + Millis(1400)));
   CHECK_FALSE(Bag.at(2).mayAct(Bag.Now + Seconds(2)));
-  CHECK(Bag.at(2).whyNot(Bag.Now + Seconds(2)).find("did not run for 2") == 0);
+  CHECK(Bag.at(2).refusalReason(Bag.Now + Seconds(2)).find("did not run for 2") == 0);
 }
 
 TEST_CASE("it accuses nobody, is told that it was failed, and comes back") {
@@ -63,7 +63,7 @@
   Bag.run(Seconds(3));
   CHECK(Bag.countEvents(MembershipEventKind::Paused) == 1);
   CHECK_FALSE(Bag.at(2).mayAct(Bag.Now));
-  CHECK(Bag.at(2).whyNot(Bag.Now).find("0 of 2 peers") != std::string::npos);
+  CHECK(Bag.at(2).refusalReason(Bag.Now).find("0 of 2 peers") != std::string::npos);
   Bag.Faults.Cut = nullptr;
   Bag.run(Seconds(2));
   CHECK(Bag.at(2).mayAct(Bag.Now));
