--- a/packages/fleet/GossipMessage.cpp
+++ b/packages/fleet/GossipMessage.cpp
@@ -89,7 +89,7 @@
     return C;
   if (auto C = A.Version <=> B.Version; std::is_neq(C))
     return C;
-  return A.Thought <=> B.Thought;
+  return A.ObservedHealth <=> B.ObservedHealth;
 }
 
 } // namespace shallot
--- a/packages/fleet/GossipMessage.h
+++ b/packages/fleet/GossipMessage.h
@@ -53,7 +53,7 @@
 struct MemberUpdate {
   Member Who;
   std::uint64_t Version = 0;
-  Health Thought = Health::Trusted;
+  Health ObservedHealth = Health::Trusted;
   HostId Accuser; ///< Who thinks so; empty when Trusted.
 
   friend bool operator==(const MemberUpdate &, const MemberUpdate &) = default;
--- a/packages/fleet/MemberTable.cpp
+++ b/packages/fleet/MemberTable.cpp
@@ -14,7 +14,7 @@
 }
 
 void clearSuspicion(MemberRecord &R) {
-  R.Fact.Thought = Health::Trusted;
+  R.Fact.ObservedHealth = Health::Trusted;
   R.Fact.Accuser = HostId();
   R.Accusers.clear();
 }
@@ -33,11 +33,11 @@
   MemberState Declared = R.Fact.Who.State;
   if (Declared == MemberState::Left)
     return MemberState::Left;
-  if (R.Fact.Thought == Health::Failed)
+  if (R.Fact.ObservedHealth == Health::Failed)
     return MemberState::Failed;
   if (Declared == MemberState::Leaving || R.ListedLeaving)
     return MemberState::Leaving;
-  if (Declared == MemberState::Alive && R.Fact.Thought == Health::Suspect)
+  if (Declared == MemberState::Alive && R.Fact.ObservedHealth == Health::Suspect)
     return MemberState::Suspect;
   return Declared;
 }
@@ -65,7 +65,7 @@
   if (!R)
     return {};
   return {true, R->Fact.Who.Id.Incarnation, R->Fact.Who.State, shownState(*R),
-          R->Fact.Thought};
+          R->Fact.ObservedHealth};
 }
 
 MergeResult MemberTable::merge(const MemberUpdate &U, Instant Now) {
@@ -81,7 +81,7 @@
     commit(R, OldId, Now);
     return Merged;
   }
-  if (U.Thought == Health::Trusted)
+  if (U.ObservedHealth == Health::Trusted)
     return MergeResult::Nothing;
   MergeResult Merged = accuse(R, U, Now);
   if (Merged == MergeResult::News)
@@ -92,7 +92,7 @@
 MergeResult MemberTable::insert(const MemberUpdate &U, Instant Now) {
   // A tombstone is never learned from others. Otherwise two daemons whose
   // tombstones run out at different times would hand it to each other for ever.
-  if (U.Thought == Health::Failed || U.Who.State == MemberState::Left)
+  if (U.ObservedHealth == Health::Failed || U.Who.State == MemberState::Left)
     return MergeResult::Nothing;
   if (Records.size() >= MaxMembers)
     return MergeResult::Full;
@@ -100,7 +100,7 @@
   R.Fact = U;
   R.HeardAt = Now;
   clearSuspicion(R);
-  if (U.Thought == Health::Suspect)
+  if (U.ObservedHealth == Health::Suspect)
     accuse(R, U, Now);
   commit(R, U.Who.Id, Now);
   return MergeResult::News;
@@ -108,7 +108,7 @@
 
 MergeResult MemberTable::takeNewer(MemberRecord &R, const MemberUpdate &U,
                                    Instant Now) {
-  bool WasFailed = R.Fact.Thought == Health::Failed;
+  bool WasFailed = R.Fact.ObservedHealth == Health::Failed;
   bool NewRun = R.Fact.Who.Id != U.Who.Id;
   bool BecameAlive =
       U.Who.State == MemberState::Alive &&
@@ -119,12 +119,12 @@
     R.ListedLeaving = false;
   if (BecameAlive)
     R.AliveSince = Now;
-  if (WasFailed && U.Thought == Health::Failed)
+  if (WasFailed && U.ObservedHealth == Health::Failed)
     return MergeResult::News;
   clearSuspicion(R);
-  if (U.Thought == Health::Suspect)
+  if (U.ObservedHealth == Health::Suspect)
     accuse(R, U, Now);
-  return U.Thought == Health::Failed ? MergeResult::Doubt : MergeResult::News;
+  return U.ObservedHealth == Health::Failed ? MergeResult::Doubt : MergeResult::News;
 }
 
 /// A member that we trust is never Failed nor suspected because another daemon
@@ -135,11 +135,11 @@
 /// for Failed (tickTombstones), and refutes.
 MergeResult MemberTable::accuse(MemberRecord &R, const MemberUpdate &U,
                                 Instant Now) {
-  if (R.Fact.Thought == Health::Failed || R.Fact.Who.State == MemberState::Left)
+  if (R.Fact.ObservedHealth == Health::Failed || R.Fact.Who.State == MemberState::Left)
     return MergeResult::Nothing;
-  if (R.Fact.Thought == Health::Trusted && U.Thought == Health::Failed)
+  if (R.Fact.ObservedHealth == Health::Trusted && U.ObservedHealth == Health::Failed)
     return MergeResult::Doubt;
-  if (R.Fact.Thought == Health::Trusted) {
+  if (R.Fact.ObservedHealth == Health::Trusted) {
     R.SuspectedAt = Now;
     R.Probed = false;
   }
@@ -148,7 +148,7 @@
   if (Heard || R.Accusers.size() >= MaxAccusers)
     return MergeResult::Nothing;
   R.Accusers.push_back(Accuser);
-  R.Fact.Thought = Health::Suspect;
+  R.Fact.ObservedHealth = Health::Suspect;
   R.Fact.Accuser = Accuser;
   return MergeResult::News;
 }
@@ -193,7 +193,7 @@
 void MemberTable::setFailed(const HostId &Host, const HostId &Accuser,
                             Instant Now) {
   MemberRecord &R = Records.at(Host);
-  R.Fact.Thought = Health::Failed;
+  R.Fact.ObservedHealth = Health::Failed;
   R.Fact.Accuser = Accuser;
   commit(R, R.Fact.Who.Id, Now);
 }
@@ -215,7 +215,7 @@
 
 void MemberTable::commit(MemberRecord &R, const DaemonId &OldId, Instant Now) {
   const HostId &Host = R.Fact.Who.Id.Host;
-  if (R.Fact.Thought == Health::Suspect)
+  if (R.Fact.ObservedHealth == Health::Suspect)
     Suspects.insert(Host);
   else
     Suspects.erase(Host);
--- a/packages/fleet/MemberTable.h
+++ b/packages/fleet/MemberTable.h
@@ -52,7 +52,7 @@
   std::uint64_t Incarnation = 0;
   MemberState Declared = MemberState::Starting;
   MemberState Shown = MemberState::Starting;
-  Health Thought = Health::Trusted;
+  Health ObservedHealth = Health::Trusted;
 };
 
 enum class MergeResult : std::uint8_t {
--- a/packages/fleet/MembershipNews.cpp
+++ b/packages/fleet/MembershipNews.cpp
@@ -220,12 +220,12 @@
     event(MembershipEventKind::Superseded, U.Who.Id, From,
           "the fleet knows a later run of this host");
   }
-  if (U.Who.Id != Self.Who.Id || U.Thought == Health::Trusted ||
+  if (U.Who.Id != Self.Who.Id || U.ObservedHealth == Health::Trusted ||
       Self.Who.State == MemberState::Left)
     return;
   // Also when it was refuted already: some may have gone on to Failed on an
   // accusation of which we heard only the beginning. Once for each version.
-  if (U.Thought == Health::Failed && U.Version >= NextFailedVersion) {
+  if (U.ObservedHealth == Health::Failed && U.Version >= NextFailedVersion) {
     NextFailedVersion = U.Version + 1;
     showSelfFailed(Now);
   }
@@ -237,7 +237,7 @@
         fmt::format("{} held this daemon {}, told by {}; refuted with version "
                     "{}",
                     U.Accuser.str(),
-                    U.Thought == Health::Failed ? "failed" : "suspect",
+                    U.ObservedHealth == Health::Failed ? "failed" : "suspect",
                     From.str(), Self.Version));
 }
 
@@ -261,14 +261,14 @@
   }
   if (NewRun)
     event(Kind::Restarted, Who, From, Origin);
-  else if (Before.Thought == Health::Failed &&
-           After.Fact.Thought != Health::Failed)
+  else if (Before.ObservedHealth == Health::Failed &&
+           After.Fact.ObservedHealth != Health::Failed)
     event(Kind::Recovered, Who, From, Origin);
-  else if (Before.Thought == Health::Trusted &&
-           After.Fact.Thought == Health::Suspect)
+  else if (Before.ObservedHealth == Health::Trusted &&
+           After.Fact.ObservedHealth == Health::Suspect)
     event(Kind::Suspected, Who, After.Fact.Accuser, Origin);
-  else if (Before.Thought == Health::Suspect &&
-           After.Fact.Thought == Health::Trusted)
+  else if (Before.ObservedHealth == Health::Suspect &&
+           After.Fact.ObservedHealth == Health::Trusted)
     event(Kind::Refuted, Who, From, Origin);
   if (Before.Declared == After.Fact.Who.State && !NewRun)
     return;
@@ -336,7 +336,7 @@
   };
   const MemberRecord *R = Table.find(ToId.Host);
   bool Outdated = R && ToId.Incarnation < R->Fact.Who.Id.Incarnation;
-  if (R && (R->Fact.Thought != Health::Trusted || Outdated))
+  if (R && (R->Fact.ObservedHealth != Health::Trusted || Outdated))
     Add(R->Fact);
   News.pass(newsLimit(), [&](const HostId &Host) {
     const MemberRecord *Known = Table.find(Host);
@@ -359,7 +359,7 @@
 void Membership::Impl::ageNews() {
   News.age(newsLimit() / 3, newsLimit(), [&](const HostId &Host) {
     const MemberRecord *R = Table.find(Host);
-    return R && R->Fact.Thought != Health::Trusted;
+    return R && R->Fact.ObservedHealth != Health::Trusted;
   });
 }
 
--- a/packages/fleet/MembershipProbes.cpp
+++ b/packages/fleet/MembershipProbes.cpp
@@ -64,7 +64,7 @@
   if (Stale || !Same || R->HeardAt > Done.SentAt)
     return;
   MemberUpdate Accusation = R->Fact;
-  Accusation.Thought = Health::Suspect;
+  Accusation.ObservedHealth = Health::Suspect;
   Accusation.Accuser = Self.Who.Id.Host;
   std::size_t EventsBefore = Out.Events.size();
   learn(Accusation, Self.Who.Id.Host, Now);
--- a/packages/peer/GossipCodec.cpp
+++ b/packages/peer/GossipCodec.cpp
@@ -57,7 +57,7 @@
   To.setGossipPort(U.Who.Gossip.Port);
   To.setRpcPort(U.Who.Rpc.Port);
   To.setState(static_cast<std::uint8_t>(U.Who.State));
-  To.setThought(static_cast<std::uint8_t>(U.Thought));
+  To.setThought(static_cast<std::uint8_t>(U.ObservedHealth));
   To.setVersion(U.Version);
   To.setCapacity(U.Who.Capacity);
   To.setLoad(U.Who.Load);
@@ -77,7 +77,7 @@
   U.Version = From.getVersion();
   U.Who.Capacity = From.getCapacity();
   U.Who.Load = From.getLoad();
-  U.Thought = checked(From.getThought(), Health::Failed);
+  U.ObservedHealth = checked(From.getThought(), Health::Failed);
   U.Accuser = HostId(name(From.getAccuser()));
   return U;
 }
--- a/tests/correctness/MembersConverge.cpp
+++ b/tests/correctness/MembersConverge.cpp
@@ -76,7 +76,7 @@
       U.Who.State = Version == 2 ? MemberState::Leaving : MemberState::Alive;
       U.Version = Version;
       Facts.push_back(U);
-      U.Thought = Health::Suspect;
+      U.ObservedHealth = Health::Suspect;
       U.Accuser = HostId("a");
       Facts.push_back(U);
     }
--- a/tests/error/HostileGossipIsDropped.cpp
+++ b/tests/error/HostileGossipIsDropped.cpp
@@ -16,7 +16,7 @@
   U.Who.Http = {"127.0.15.1", 8080};
   U.Who.Gossip = {"127.0.15.1", 41041};
   U.Version = 3;
-  U.Thought = Health::Suspect;
+  U.ObservedHealth = Health::Suspect;
   U.Accuser = HostId("entry-z");
   return U;
 }
@@ -25,7 +25,7 @@
   GossipMessage M;
   M.Kind = GossipKind::IndirectProbe;
   M.Sender = update("entry-a");
-  M.Sender.Thought = Health::Trusted;
+  M.Sender.ObservedHealth = Health::Trusted;
   M.Sender.Accuser = {};
   M.Sequence = 0x1122334455667788;
   M.Target = {HostId("entry-b"), 9};
