--- a/packages/daemon/ControlPlane.cpp
+++ b/packages/daemon/ControlPlane.cpp
@@ -83,7 +83,7 @@
     // What waits in the socket is as old as the pause is long. Read as fresh
     // it would show dead members as alive.
     Gossip->discardWaiting();
-    Config.sync().doubt(Now);
+    Config.sync().revalidate(Now);
   }
   LastTick = Now;
   apply(Members.onTick(Now));
--- a/packages/fleet/ConfigSync.cpp
+++ b/packages/fleet/ConfigSync.cpp
@@ -178,7 +178,7 @@
   pursue(Now);
 }
 
-void ConfigSync::doubt(Instant Now) {
+void ConfigSync::revalidate(Instant Now) {
   Agreeing.clear();
   PlatformAgrees = false;
   // Datagrams that waited in the socket during the pause are as old as our
--- a/packages/fleet/ConfigSync.h
+++ b/packages/fleet/ConfigSync.h
@@ -194,7 +194,7 @@
   void tick(Instant Now);
   /// This daemon was paused: what it knows may be old. Confirmations are
   /// forgotten and a peer is asked.
-  void doubt(Instant Now);
+  void revalidate(Instant Now);
 
   /// What to do now, in order; empties the list.
   std::vector<ConfigCommand> take();
--- a/tests/correctness/ConfigNeverReverts.cpp
+++ b/tests/correctness/ConfigNeverReverts.cpp
@@ -25,7 +25,7 @@
     return;
   case 3:
     Bag.Nodes[I].Up = true;
-    return Bag.Nodes[I].Sync->doubt(Bag.Now);
+    return Bag.Nodes[I].Sync->revalidate(Bag.Now);
   case 4:
     Bag.PlatformUp = !Bag.PlatformUp;
     return;
--- a/tests/failure/ConfigSourcesFail.cpp
+++ b/tests/failure/ConfigSourcesFail.cpp
@@ -70,7 +70,7 @@
   Bag.Nodes[2].Up = false;
   Bag.run(Seconds(5));
   Bag.Nodes[2].Up = true;
-  Paused.doubt(Bag.Now);
+  Paused.revalidate(Bag.Now);
   Paused.announced(Bag.View.Members[0].Id, 1, Bag.Now);
   CHECK(Paused.confirmedBy() == 0);
   Bag.run(Seconds(5));
