--- a/packages/fleet/CarrierChoice.cpp
+++ b/packages/fleet/CarrierChoice.cpp
@@ -70,7 +70,7 @@
 
 } // namespace
 
-std::vector<const Member *> chooseCarriers(Hosts Candidates, const Hosts &Zone,
+std::vector<const Member *> chooseEntryHosts(Hosts Candidates, const Hosts &Zone,
                                            std::size_t Most) {
   std::ranges::stable_sort(Candidates, std::greater<>(), capacity);
   double Load = zoneLoad(Candidates, Zone);
--- a/packages/fleet/CarrierChoice.h
+++ b/packages/fleet/CarrierChoice.h
@@ -55,7 +55,7 @@
 /// Callers pick among the named hosts at random, so each gets the same share:
 /// a set holds as many times its smallest host.
 std::vector<const Member *>
-chooseCarriers(std::vector<const Member *> Candidates,
+chooseEntryHosts(std::vector<const Member *> Candidates,
                const std::vector<const Member *> &Zone, std::size_t Most);
 
 } // namespace shallot
--- a/packages/front/EntryAddresses.cpp
+++ b/packages/front/EntryAddresses.cpp
@@ -30,7 +30,7 @@
   for (const Member &M : View.Members)
     if (Near(M))
       Zone.push_back(&M);
-  return chooseCarriers(those(View, State, Near), Zone, MaxEntryAddresses);
+  return chooseEntryHosts(those(View, State, Near), Zone, MaxEntryAddresses);
 }
 
 /// The carriers of all zones, and those that may still be serving: suspected
--- a/tests/correctness/CarriersFollowTheLoad.cpp
+++ b/tests/correctness/CarriersFollowTheLoad.cpp
@@ -33,7 +33,7 @@
       if (M.State == MemberState::Alive)
         Alive.push_back(&M);
     }
-    return chooseCarriers(Alive, All, Most);
+    return chooseEntryHosts(Alive, All, Most);
   }
   std::size_t count() const { return choose().size(); }
   Member &host(std::size_t I) { return Hosts[I]; }
