--- a/packages/fleet/BroadcastQueue.h
+++ b/packages/fleet/BroadcastQueue.h
@@ -1,9 +1,9 @@
-//===- BroadcastQueue.h - News still to be passed on ------------*- C++ -*-===//
+//===- BroadcastQueue.h - Queue of updates to broadcast ---------*- C++ -*-===//
 //
-// Inside of package fleet: the members whose facts changed lately, with how
-// often each was passed on. The least passed on go first, each up to a number
-// of times that grows with the logarithm of the fleet (SWIM); what still gets
-// lost is found by the comparison of tables. At most one entry a member.
+// Internal to package fleet: the members with recent updates and how often each
+// was sent. Updates sent least often go first. Each is sent a number of times
+// that grows with the logarithm of the fleet size (SWIM); updates that are lost
+// nevertheless are repaired by table comparison. At most one entry per member.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_BROADCASTQUEUE_H
@@ -19,7 +19,7 @@
 
 class BroadcastQueue {
 public:
-  /// Queues \p Host as news, at the front.
+  /// Queues the update about \p Host ahead of all others.
   void add(const HostId &Host) {
     remove(Host);
     insert(Host, 0);
@@ -33,9 +33,9 @@
     ByHost.erase(It);
   }
 
-  /// Calls \p Take for the least passed on hosts until it returns false, and
-  /// counts each taken one. Those passed on \p Limit times are dropped.
-  template <typename F> void pass(unsigned Limit, F &&Take) {
+  /// Calls \p Take for hosts in order of fewest sends until it returns false,
+  /// and counts one send for each host taken. Drops hosts sent \p Limit times.
+  template <typename F> void transmit(unsigned Limit, F &&Take) {
     std::vector<Entry> Taken;
     for (const Entry &E : Order) {
       if (!Take(E.Host))
@@ -49,10 +49,10 @@
     }
   }
 
-  /// Counts \p By more sends for every host that \p Keep is false for.
+  /// Counts \p By more sends for every host for which \p Keep is false.
   template <typename F> void age(unsigned By, unsigned Limit, F &&Keep) {
     std::vector<Entry> All(Order.begin(), Order.end());
-    // The oldest first, so that the newest stay in front.
+    // Reinsert the oldest first, so that the newest stay in front.
     for (auto E = All.rbegin(); E != All.rend(); ++E) {
       if (Keep(E->Host))
         continue;
@@ -62,7 +62,7 @@
     }
   }
 
-  /// True when some host was passed on fewer than \p Sends times.
+  /// Returns true if any host was sent fewer than \p Sends times.
   bool anyBelow(unsigned Sends) const {
     return !Order.empty() && Order.begin()->Sent < Sends;
   }
@@ -72,7 +72,7 @@
 private:
   struct Entry {
     unsigned Sent = 0;
-    std::uint64_t Age = 0; ///< Falls with time: the newest go first.
+    std::uint64_t Age = 0; ///< Decreases over time: the newest go first.
     HostId Host;
     friend auto operator<=>(const Entry &, const Entry &) = default;
   };
--- a/packages/fleet/CarrierChoice.h
+++ b/packages/fleet/CarrierChoice.h
@@ -1,23 +1,22 @@
-//===- CarrierChoice.h - Which hosts carry callers --------------*- C++ -*-===//
+//===- CarrierChoice.h - Selects the entry hosts of a zone ------*- C++ -*-===//
 //
-// Of the daemons that could serve a zone's callers, a few do: as many as the
-// load needs, the largest first. The loads that this answers:
+// Entry hosts are the daemons that a zone's callers are sent to. Only as many
+// as the load needs are selected, the largest first. Spreading callers over
+// all hosts would leave each of them with little traffic: cold connections to
+// replicas, outdated samples of replica health, and shares of the connection
+// and retry budgets that are close to zero.
 //
-//   - many hosts, each with little to do: their connections to replicas are
-//   cold,
-//     they judge replicas by old evidence, and their shares of connections and
-//     retries are next to nothing.
-//   - growth: carriers announce how busy they are (Member::Load), and more
-//   hosts are
-//     named while they are busier than TargetUse.
-//   - the loss of carriers: the next hosts in order take over, for the load
-//     that the lost ones had.
-//   - a start, when nobody knows the load: hosts with PriorPart of the zone's
-//     capacity carry until they have announced it.
+//   - Growth: entry hosts announce their load (Member::Load), and more hosts
+//     are added while utilization exceeds TargetUtilization.
+//   - Failure: when entry hosts fail, the next hosts in order replace them. The
+//     load that the failed hosts announced is still counted.
+//   - Start: before any load is known, the largest hosts that together have
+//     InitialCapacityFraction of the zone's capacity serve its callers.
 //
-// A pure function of the fleet's picture, so daemons that see the same name the
-// same hosts. Hosts of one size are taken in the order of their ids, so that a
-// change of the load adds or drops the last ones and moves nobody else.
+// The selection is a pure function of the fleet view, so daemons with equal
+// views select the same hosts. Hosts of equal capacity are ordered by id, so a
+// change in load adds or removes hosts at the end of the list and moves no
+// other callers.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_CARRIERCHOICE_H
@@ -29,34 +28,36 @@
 
 namespace shallot {
 
-/// Part of its capacity that a carrier should use, when all are equally busy: a
-/// query over many shards occupies a small host for tens of milliseconds, and
-/// others wait meanwhile.
-inline constexpr double TargetUse = 0.15;
+/// Target utilization of an entry host when all are equally busy. A query over
+/// many shards occupies a small host for tens of milliseconds, during which
+/// other queries wait.
+inline constexpr double TargetUtilization = 0.15;
 
-/// Use up to which large hosts are not joined by smaller ones: beside these
-/// they get no more than an equal share, and the small ones answer more slowly.
-inline constexpr double MostUse = 0.4;
+/// Utilization up to which smaller hosts are not added to larger ones. Callers
+/// are spread evenly, so the larger hosts would only get an equal share, and
+/// the smaller ones answer more slowly.
+inline constexpr double MaxUtilization = 0.4;
 
-/// Part of a zone's capacity that carries its callers before any carrier has
-/// said what they take. Enough for a busy fleet to be served while it finds its
-/// size: the load then grows the set within seconds.
-inline constexpr double PriorPart = 0.2;
+/// Fraction of a zone's capacity that serves its callers before any entry host
+/// has announced a load. Enough for a busy fleet to be served at once; the
+/// announced load then grows the set within seconds.
+inline constexpr double InitialCapacityFraction = 0.2;
 
-/// One carrier's loss leaves another one that knows the replicas.
-inline constexpr std::size_t LeastCarriers = 2;
+/// When one entry host fails, another with known replica health remains.
+inline constexpr std::size_t MinEntryHosts = 2;
 
-/// Where equal hosts are there, the loss of two at once leaves one.
-inline constexpr std::size_t SpareCarriers = 3;
+/// With hosts of equal capacity, one remains when two fail at once.
+inline constexpr std::size_t EqualEntryHosts = 3;
 
-/// The carriers among \p Candidates, which may serve; at most \p Most. \p Zone
-/// holds all members whose callers these serve, the lost ones too.
+/// Selects at most \p MaxHosts entry hosts from \p Candidates, the members that
+/// may serve. \p Zone holds all members of the zone, including failed ones.
 ///
-/// Callers pick among the named hosts at random, so each gets the same share:
-/// a set holds as many times its smallest host.
+/// Callers choose among the selected hosts at random, so each gets an equal
+/// share, and the usable capacity is the number of hosts times the capacity of
+/// the smallest one.
 std::vector<const Member *>
 chooseEntryHosts(std::vector<const Member *> Candidates,
-               const std::vector<const Member *> &Zone, std::size_t Most);
+                 const std::vector<const Member *> &Zone, std::size_t MaxHosts);
 
 } // namespace shallot
 
--- a/packages/fleet/ConfigSync.cpp
+++ b/packages/fleet/ConfigSync.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-/// Peers ahead of us that are remembered; any one of them is enough, more are
-/// for when several fail.
-constexpr std::size_t MaxAhead = 64;
-/// Peers that agree with us that are remembered; readiness needs a few.
-constexpr std::size_t MaxAgreeing = 16;
-/// Peers that are asked without knowing that they have anything newer before
-/// the platform is.
-constexpr std::size_t MaxBlindTries = 3;
-/// Answers that are still taken when they come too late. One fetch runs at a
-/// time, and a call is ended after 3 s.
-constexpr std::size_t MostGivenUp = 8;
-/// Replies of the platform that must deny what a vanished peer claimed before
-/// it is taken for wrong: one reply may lag.
-constexpr unsigned DenialsToForget = 3;
-/// Beyond this many doublings every wait is at its cap anyway.
+/// The most peers with a newer generation that are remembered. One is enough;
+/// the others are for when several fail.
+constexpr std::size_t MaxPeersAhead = 64;
+/// The most confirming peers that are remembered; readiness needs a few.
+constexpr std::size_t MaxConfirming = 16;
+/// Peers asked without an announcement of a newer generation before the
+/// platform is.
+constexpr std::size_t MaxUnannouncedTries = 3;
+/// The most timed-out fetches whose late replies are accepted. One fetch runs
+/// at a time, and a call is ended after 3 s.
+constexpr std::size_t MaxTimedOut = 8;
+/// Replies of the platform that must contradict the announcement of a departed
+/// peer before it is dropped. More than one, because one reply may lag.
+constexpr unsigned DenialsToDropClaim = 3;
+/// Beyond this many doublings every backoff has reached its limit.
 constexpr unsigned MaxDoublings = 16;
 
 ConfigSource platformSource() { return {ConfigSource::Kind::Platform, {}}; }
 
-/// True for answers that say "nothing for you here" rather than failing.
-bool knewNothing(const Error &Why) {
+/// Returns true if the source answered but has nothing newer.
+bool hasNoNewerConfig(const Error &Why) {
   return Why.Code == ResultCode::NoConfiguration ||
          Why.Code == ResultCode::StaleGeneration;
 }
@@ -49,15 +49,16 @@
 }
 
 ConfigSync::ConfigSync(DaemonId Self, AvailabilityZone Zone, Random &Rng,
-                       ConfigSyncRules Rules)
-    : Self(std::move(Self)), Zone(std::move(Zone)), Rng(Rng), Rules(Rules) {}
+                       ConfigSyncOptions Options)
+    : Self(std::move(Self)), Zone(std::move(Zone)), Rng(Rng), Options(Options) {
+}
 
 bool ConfigSync::reachable(const Member &M) {
   return takesNewWork(M) || M.State == MemberState::Leaving ||
          M.State == MemberState::Starting;
 }
 
-// What was heard.
+// Announcements.
 
 std::uint64_t ConfigSync::highest() const {
   std::uint64_t Highest = 0;
@@ -65,30 +66,30 @@
     if (Claim != InvalidGeneration)
       Highest = std::max(Highest, Claim);
   };
-  for (const auto &[Peer, Claim] : Ahead)
+  for (const auto &[Peer, Claim] : PeersAhead)
     Take(Claim);
   Take(PlatformClaim);
-  Take(OrphanClaim);
+  Take(DepartedClaim);
   return Highest;
 }
 
-void ConfigSync::heard(const ConfigSource &From, std::uint64_t Generation,
-                       Instant Now) {
-  if (Generation <= Stat.HighestHeard)
+void ConfigSync::noteGeneration(const ConfigSource &From,
+                                std::uint64_t Generation, Instant Now) {
+  if (Generation <= Status.HighestHeard)
     return;
-  Stat.HighestHeard = Generation;
-  Stat.HeardFrom = From;
-  // Something new: earlier failures say nothing about it.
+  Status.HighestHeard = Generation;
+  Status.HeardFrom = From;
+  // Earlier failures do not apply to a new generation.
   Failures = 0;
-  Tried.clear();
+  FailedPeers.clear();
   NextTry = Now;
 }
 
-void ConfigSync::agree(const ConfigSource &From) {
+void ConfigSync::addConfirmation(const ConfigSource &From) {
   if (From.From != ConfigSource::Kind::Peer)
-    PlatformAgrees = true;
-  else if (Agreeing.size() < MaxAgreeing)
-    Agreeing.insert(From.Peer);
+    PlatformConfirms = true;
+  else if (Confirming.size() < MaxConfirming)
+    Confirming.insert(From.Peer);
 }
 
 void ConfigSync::announced(const DaemonId &From, std::uint64_t Generation,
@@ -96,68 +97,70 @@
   if (From == Self)
     return;
   if (Generation <= generation()) {
-    Ahead.erase(From);
+    PeersAhead.erase(From);
     if (Generation < generation() || Generation == 0)
-      Agreeing.erase(From);
-    else if (!MustAsk)
-      agree({ConfigSource::Kind::Peer, From});
+      Confirming.erase(From);
+    else if (!MustRevalidate)
+      addConfirmation({ConfigSource::Kind::Peer, From});
     return;
   }
-  Agreeing.erase(From);
-  if (Ahead.size() < MaxAhead || Ahead.contains(From))
-    Ahead[From] = Generation;
+  Confirming.erase(From);
+  if (PeersAhead.size() < MaxPeersAhead || PeersAhead.contains(From))
+    PeersAhead[From] = Generation;
   else if (Generation > highest())
     // A full table must not hide a newer generation behind older ones.
-    Ahead = {{From, Generation}};
-  heard({ConfigSource::Kind::Peer, From}, Generation, Now);
-  pursue(Now);
+    PeersAhead = {{From, Generation}};
+  noteGeneration({ConfigSource::Kind::Peer, From}, Generation, Now);
+  fetchIfNeeded(Now);
 }
 
-void ConfigSync::correctClaim(const ConfigSource &From,
-                              std::uint64_t Generation) {
+void ConfigSync::updateClaim(const ConfigSource &From,
+                             std::uint64_t Generation) {
   if (From.From == ConfigSource::Kind::Peer) {
     if (Generation > generation())
-      Ahead[From.Peer] = Generation;
+      PeersAhead[From.Peer] = Generation;
     else
-      Ahead.erase(From.Peer);
+      PeersAhead.erase(From.Peer);
     return;
   }
   PlatformClaim = Generation;
-  if (Generation >= OrphanClaim || ++OrphanDenials >= DenialsToForget)
-    OrphanClaim = OrphanDenials = 0;
+  if (Generation >= DepartedClaim || ++DepartedDenials >= DenialsToDropClaim)
+    DepartedClaim = DepartedDenials = 0;
 }
 
-void ConfigSync::dropGoneClaims() {
-  for (auto It = Ahead.begin(); It != Ahead.end();) {
+void ConfigSync::dropDepartedPeers() {
+  for (auto It = PeersAhead.begin(); It != PeersAhead.end();) {
     const Member *M = findMember(It->first);
     if (M && reachable(*M)) {
       ++It;
       continue;
     }
-    // The peer is gone and what it had may be known to the platform only. To
-    // forget it would let this daemon take an older generation for the newest.
-    if (It->second > OrphanClaim) {
-      OrphanClaim = It->second;
-      OrphanDenials = 0;
+    // The peer has departed, and its generation may be known to the platform
+    // only. Dropping the claim would let this daemon take an older generation
+    // for the newest.
+    if (It->second > DepartedClaim) {
+      DepartedClaim = It->second;
+      DepartedDenials = 0;
     }
-    It = Ahead.erase(It);
+    It = PeersAhead.erase(It);
   }
-  std::erase_if(Agreeing, [&](const DaemonId &Id) { return !findMember(Id); });
+  std::erase_if(Confirming,
+                [&](const DaemonId &Id) { return !findMember(Id); });
 }
 
 void ConfigSync::members(const FleetView &View, Instant Now) {
   Members = View.Members;
-  dropGoneClaims();
+  dropDepartedPeers();
   bool Chosen = isWatcher(Self, Zone, Members);
-  if (Chosen != Stat.Watching) {
-    Stat.Watching = Chosen;
-    NextAntiEntropy = Now + backoff(0, Rules.AntiEntropy);
+  if (Chosen != Status.Watching) {
+    Status.Watching = Chosen;
+    NextAntiEntropy = Now + backoff(0, Options.AntiEntropy);
     if (Chosen)
       Out.push_back(StartWatch{});
     else
       Out.push_back(StopWatch{});
   }
-  pursue(Now);
+  fetchIfNeeded(Now);
 }
 
 void ConfigSync::watched(const std::string &Json, Instant Now) {
@@ -166,39 +169,39 @@
     return reject(0, platformSource(), H.error());
   std::uint64_t Generation = (*H)->Generation;
   if (Generation <= generation())
-    return consider({Json, {}}, platformSource(), Now);
+    return evaluate({Json, {}}, platformSource(), Now);
   PlatformClaim = Generation;
   PlatformHead = Json;
-  heard(platformSource(), Generation, Now);
-  pursue(Now);
+  noteGeneration(platformSource(), Generation, Now);
+  fetchIfNeeded(Now);
 }
 
 void ConfigSync::accepted(const ConfigParts &Parts, Instant Now) {
-  consider(Parts, {ConfigSource::Kind::Operator, {}}, Now);
-  pursue(Now);
+  evaluate(Parts, {ConfigSource::Kind::Operator, {}}, Now);
+  fetchIfNeeded(Now);
 }
 
 void ConfigSync::revalidate(Instant Now) {
-  Agreeing.clear();
-  PlatformAgrees = false;
-  // Datagrams that waited in the socket during the pause are as old as our
-  // own knowledge: only an answer to a question asked now confirms.
-  MustAsk = true;
+  Confirming.clear();
+  PlatformConfirms = false;
+  // Datagrams that were queued in the socket during the pause are as old as our
+  // own state: only the answer to a request sent from now on confirms it.
+  MustRevalidate = true;
   NextTry = Now;
-  pursue(Now);
+  fetchIfNeeded(Now);
 }
 
 unsigned ConfigSync::confirmedBy() const {
-  if (!InForce || MustAsk || behind())
+  if (!Current || MustRevalidate || behind())
     return 0;
-  return static_cast<unsigned>(Agreeing.size()) + (PlatformAgrees ? 1 : 0);
+  return static_cast<unsigned>(Confirming.size()) + (PlatformConfirms ? 1 : 0);
 }
 
 ConfigStatus ConfigSync::status() const {
-  ConfigStatus S = Stat;
+  ConfigStatus S = Status;
   S.Generation = generation();
   S.ConfirmedBy = confirmedBy();
-  S.ConfirmedByPlatform = PlatformAgrees;
+  S.ConfirmedByPlatform = PlatformConfirms;
   return S;
 }
 
@@ -213,13 +216,13 @@
 
 std::vector<const Member *> ConfigSync::peersToAsk() const {
   std::vector<const Member *> Fit;
-  for (const auto &[Id, Claim] : Ahead)
+  for (const auto &[Id, Claim] : PeersAhead)
     if (const Member *M = findMember(Id);
         M && reachable(*M) && Claim != InvalidGeneration)
       Fit.push_back(M);
-  if (!Fit.empty() || (InForce && !MustAsk))
+  if (!Fit.empty() || (Current && !MustRevalidate))
     return Fit;
-  if (Tried.size() >= MaxBlindTries)
+  if (FailedPeers.size() >= MaxUnannouncedTries)
     return Fit;
   for (const Member &M : Members)
     if (M.Id != Self && reachable(M) && M.State != MemberState::Starting)
@@ -229,17 +232,18 @@
 
 const Member *ConfigSync::choosePeer() {
   std::vector<const Member *> Fit = peersToAsk();
-  std::erase_if(Fit, [&](const Member *M) { return Tried.contains(M->Id); });
+  std::erase_if(Fit,
+                [&](const Member *M) { return FailedPeers.contains(M->Id); });
   if (Fit.empty())
     return nullptr;
-  auto Near = std::partition(Fit.begin(), Fit.end(),
-                             [&](const Member *M) { return M->Zone == Zone; });
-  auto NearCount = static_cast<std::size_t>(Near - Fit.begin());
-  return Fit[below(Rng, NearCount ? NearCount : Fit.size())];
+  auto SameZone = std::partition(
+      Fit.begin(), Fit.end(), [&](const Member *M) { return M->Zone == Zone; });
+  auto SameZoneCount = static_cast<std::size_t>(SameZone - Fit.begin());
+  return Fit[below(Rng, SameZoneCount ? SameZoneCount : Fit.size())];
 }
 
 std::uint64_t ConfigSync::start(ConfigSource From, Instant Now) {
-  Running = Fetch{++LastTicket, std::move(From), Now};
+  ActiveFetch = Fetch{++LastTicket, std::move(From), Now};
   return LastTicket;
 }
 
@@ -254,7 +258,7 @@
 }
 
 bool ConfigSync::tryPlatform(Instant Now) {
-  bool Allowed = Stat.Watching || Failures >= Rules.PlatformAfterFailures;
+  bool Allowed = Status.Watching || Failures >= Options.PlatformAfterFailures;
   if (!Allowed || Now < NextPlatformTry)
     return false;
   std::uint64_t Ticket = start(platformSource(), Now);
@@ -262,14 +266,14 @@
   return true;
 }
 
-void ConfigSync::pursue(Instant Now) {
-  // One fetch at a time: the same blobs asked for twice would cost the bytes
-  // twice, and a second answer could only be older or equal.
-  if (Running)
+void ConfigSync::fetchIfNeeded(Instant Now) {
+  // One fetch at a time: a second one would transfer the same blobs twice, and
+  // its answer could only be older or equal.
+  if (ActiveFetch)
     return;
-  if (!wantsAny()) {
-    if (Stat.Watching && Now >= NextAntiEntropy) {
-      NextAntiEntropy = Now + backoff(0, Rules.AntiEntropy);
+  if (!needsFetch()) {
+    if (Status.Watching && Now >= NextAntiEntropy) {
+      NextAntiEntropy = Now + backoff(0, Options.AntiEntropy);
       tryPlatform(Now);
     }
     return;
@@ -280,90 +284,89 @@
     return;
   if (tryPeer(Now) || tryPlatform(Now))
     return;
-  Tried.clear();
-  NextTry = Now + backoff(++Failures, Rules.MaxBackoff);
+  FailedPeers.clear();
+  NextTry = Now + backoff(++Failures, Options.MaxBackoff);
 }
 
 Duration ConfigSync::backoff(unsigned Tries, Duration Cap) {
   Duration Wait = Cap;
   if (Tries > 0 && Tries <= MaxDoublings)
-    Wait = std::min(Cap, Rules.FirstBackoff * (1U << (Tries - 1)));
-  // From half to one and a half: daemons that failed together do not come back
-  // together.
+    Wait = std::min(Cap, Options.FirstBackoff * (1U << (Tries - 1)));
+  // A random factor of 0.5 to 1.5, so that daemons that failed together do not
+  // retry together.
   return Duration(static_cast<Duration::rep>(static_cast<double>(Wait.count()) *
                                              (0.5 + uniform01(Rng))));
 }
 
 void ConfigSync::failed(const ConfigSource &From, Instant Now) {
-  ++Stat.FailedFetches;
+  ++Status.FailedFetches;
   if (From.From == ConfigSource::Kind::Peer) {
-    Tried.insert(From.Peer);
+    FailedPeers.insert(From.Peer);
   } else {
-    // The head may be what is wrong: read it again the next time.
+    // The head may be the cause of the failure: read it again next time.
     PlatformHead.clear();
     NextPlatformTry =
-        Now + backoff(++PlatformFailures, Rules.MaxPlatformBackoff);
+        Now + backoff(++PlatformFailures, Options.MaxPlatformBackoff);
   }
-  NextTry = Now + backoff(++Failures, Rules.MaxBackoff);
+  NextTry = Now + backoff(++Failures, Options.MaxBackoff);
 }
 
 void ConfigSync::succeeded() {
-  MustAsk = false;
+  MustRevalidate = false;
   Failures = 0;
   PlatformFailures = 0;
-  Tried.clear();
+  FailedPeers.clear();
 }
 
 void ConfigSync::fetchFailed(std::uint64_t Ticket, const Error &Why,
                              Instant Now) {
-  if (!Running || Running->Ticket != Ticket)
+  if (!ActiveFetch || ActiveFetch->Ticket != Ticket)
     return;
-  ConfigSource From = Running->From;
-  Running.reset();
-  if (knewNothing(Why)) {
-    // Its claim was wrong or outdated. When nobody knows anything it is for
-    // the watchers, not for everyone, to go on asking the platform.
-    correctClaim(From, 0);
+  ConfigSource From = ActiveFetch->From;
+  ActiveFetch.reset();
+  if (hasNoNewerConfig(Why)) {
+    // The claim was wrong or outdated. If no source has a configuration, only
+    // the watchers should keep asking the platform, not every daemon.
+    updateClaim(From, 0);
     unsigned Before = Failures;
     failed(From, Now);
     Failures =
-        std::min(Failures, std::max(Before, Rules.PlatformAfterFailures - 1));
+        std::min(Failures, std::max(Before, Options.PlatformAfterFailures - 1));
   } else {
     failed(From, Now);
   }
-  pursue(Now);
+  fetchIfNeeded(Now);
 }
 
 void ConfigSync::platformEmpty(std::uint64_t Ticket, Instant Now) {
-  if (!Running || Running->Ticket != Ticket)
+  if (!ActiveFetch || ActiveFetch->Ticket != Ticket)
     return;
-  Running.reset();
+  ActiveFetch.reset();
   PlatformClaim = 0;
   failed(platformSource(), Now);
-  if (InForce)
+  if (Current)
     reject(0, platformSource(),
            {ResultCode::PlatformNotFound,
-            "the platform has no configuration; ours stays in force"});
+            "the platform has no configuration; keeping the one in force"});
 }
 
 Duration ConfigSync::timeoutOf(const Fetch &F) const {
-  return F.From.From == ConfigSource::Kind::Peer ? Rules.PeerFetchTimeout
-                                                 : Rules.PlatformFetchTimeout;
+  return F.From.From == ConfigSource::Kind::Peer ? Options.PeerFetchTimeout
+                                                 : Options.PlatformFetchTimeout;
 }
 
-void ConfigSync::giveUp(Instant Now) {
-  std::uint64_t Ticket = Running->Ticket;
-  GivenUp.emplace(Ticket, Running->From);
-  if (GivenUp.size() > MostGivenUp)
-    GivenUp.erase(GivenUp.begin());
-  fetchFailed(Ticket, {ResultCode::PeerUnreachable, "no answer to a fetch"},
-              Now);
+void ConfigSync::onFetchTimeout(Instant Now) {
+  std::uint64_t Ticket = ActiveFetch->Ticket;
+  TimedOut.emplace(Ticket, ActiveFetch->From);
+  if (TimedOut.size() > MaxTimedOut)
+    TimedOut.erase(TimedOut.begin());
+  fetchFailed(Ticket, {ResultCode::PeerUnreachable, "fetch timed out"}, Now);
 }
 
 void ConfigSync::tick(Instant Now) {
-  if (Running && Now - Running->Started > timeoutOf(*Running))
-    giveUp(Now);
-  pursue(Now);
+  if (ActiveFetch && Now - ActiveFetch->Started > timeoutOf(*ActiveFetch))
+    onFetchTimeout(Now);
+  fetchIfNeeded(Now);
 }
 
 } // namespace shallot
--- a/packages/fleet/ConfigSync.h
+++ b/packages/fleet/ConfigSync.h
@@ -1,20 +1,21 @@
-//===- ConfigSync.h - Which configuration is in force here ------*- C++ -*-===//
+//===- ConfigSync.h - Distribution of the configuration ---------*- C++ -*-===//
 //
-// The state machine that keeps one daemon's configuration up to date. It does
-// no I/O: inputs go in with the time, commands come out of take(), and the
-// driver carries them out and reports back.
+// A state machine that keeps the configuration of one daemon up to date. It
+// does no I/O: the driver passes inputs with the current time, executes the
+// commands from take() and reports their results.
 //
-//   heard a generation (gossip, watch) -> fetch what is missing, from a peer
-//   that has it or from the platform -> check every blob against its hash ->
-//   check the whole -> install -> tell a few peers at once.
+//   A generation is announced (gossip, watch) -> fetch the missing blobs from a
+//   peer that has them or from the platform -> check every blob against its
+//   hash -> validate the whole -> install -> announce it to a few peers.
 //
-// What holds whatever is lost, late or repeated:
+// Invariants under loss, delay and duplication:
 //  - A generation lower than the one in force is never installed, so a lagging
-//    platform reply, a stale peer or a healed split cannot revert a change.
-//  - What fails its checks is never installed and does not stop later ones.
-//  - One fetch at a time; a failed one is tried again elsewhere, backed off.
-//  - Only watchers (WatcherChoice.h) use the platform, unless peers keep
-//    failing: then anyone may, backed off further.
+//    platform reply, a stale peer or a healed partition cannot revert a change.
+//  - An invalid configuration is never installed and does not block later ones.
+//  - Only one fetch runs at a time. After a failure another source is tried,
+//    with backoff.
+//  - Only watchers (WatcherChoice.h) use the platform. If fetches from peers
+//    keep failing, any daemon may, with a longer backoff.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_CONFIGSYNC_H
@@ -34,7 +35,7 @@
 
 namespace shallot {
 
-/// Where a configuration, or word of it, came from.
+/// The source of a configuration or of an announcement.
 struct ConfigSource {
   enum class Kind : std::uint8_t { Peer, Platform, Operator };
   Kind From = Kind::Platform;
@@ -46,8 +47,9 @@
   friend auto operator<=>(const ConfigSource &, const ConfigSource &) = default;
 };
 
-/// A head with those blobs that the asker lacked, as raw bytes. The answer to
-/// a fetch may leave out blobs for its size; the asker asks again for the rest.
+/// A head and those of its blobs that the requester lacked, as raw bytes. The
+/// reply to a fetch may omit blobs to limit its size; the requester asks again
+/// for the rest.
 struct ConfigParts {
   std::string HeadJson;
   std::map<std::string, std::string> Blobs; ///< Content hash to JSON.
@@ -55,17 +57,17 @@
   friend bool operator==(const ConfigParts &, const ConfigParts &) = default;
 };
 
-/// What one answer to a peer carries at most, but for its last blob. A whole
-/// configuration of 9,900 upstreams is about 2 MB: on a link of 14 Mbit/s that
-/// is 1.2 s, which one other transfer makes longer than an answer is waited
-/// for. A piece takes 0.15 s there, what has come is kept, and relayed queries
-/// on the same connection are not held up for long.
+/// Size limit of one reply to a peer; the last blob may exceed it. A whole
+/// configuration of 9,900 upstreams is about 2 MB. On a link of 14 Mbit/s that
+/// takes 1.2 s, and one concurrent transfer would push it past the fetch
+/// timeout. One reply takes 0.15 s there, received blobs are kept, and relayed
+/// queries on the same connection are not delayed for long.
 inline constexpr std::size_t MaxConfigReplyBytes = 256 << 10;
-/// Most hashes that one fetch may name as held.
+/// The most hashes that one fetch may list in Have.
 inline constexpr std::size_t MaxHaveHashes = 8192;
 
-/// Request from a peer its head and the blobs that are not in Have. Answer with
-/// fetched() or fetchFailed() and the same Ticket.
+/// Request from a peer its head and the blobs that are not in Have. Report the
+/// result by fetched() or fetchFailed() with the same Ticket.
 struct FetchFromPeer {
   std::uint64_t Ticket = 0;
   DaemonId From;
@@ -76,8 +78,9 @@
                          const FetchFromPeer &) = default;
 };
 
-/// Read the head (or take KnownHead when it is not empty) and those blobs that
-/// it names and Have lacks. Answer as above; platformEmpty() on 404.
+/// Read the head (or use KnownHead if it is not empty) and the blobs that it
+/// names and Have lacks. Report the result as above, or by platformEmpty() on
+/// 404.
 struct FetchFromPlatform {
   std::uint64_t Ticket = 0;
   std::vector<std::string> Have; ///< Sorted.
@@ -87,7 +90,7 @@
                          const FetchFromPlatform &) = default;
 };
 
-/// Long-poll the head object from now on; each new head goes to watched().
+/// Start to long-poll the head object; pass each new head to watched().
 struct StartWatch {
   friend bool operator==(const StartWatch &, const StartWatch &) = default;
 };
@@ -103,7 +106,7 @@
   friend bool operator==(const AnnounceTo &, const AnnounceTo &) = default;
 };
 
-/// This configuration is in force from now on.
+/// This configuration is now in force.
 struct InstalledConfig {
   ConfigPtr Installed;
   ConfigSource Source;
@@ -112,7 +115,7 @@
                          const InstalledConfig &) = default;
 };
 
-/// Something offered was not installed; to be logged.
+/// A configuration was rejected; log it.
 struct RejectedConfig {
   std::uint64_t Generation = 0; ///< 0 when the head could not be read.
   ConfigSource Source;
@@ -126,37 +129,37 @@
     std::variant<FetchFromPeer, FetchFromPlatform, StartWatch, StopWatch,
                  AnnounceTo, InstalledConfig, RejectedConfig>;
 
-/// Times and counts of ConfigSync, with the values that the daemon uses.
-struct ConfigSyncRules {
+/// Options of ConfigSync; the defaults are those of the daemon.
+struct ConfigSyncOptions {
   /// Wait after the first failed fetch; doubles with each further one.
   Duration FirstBackoff = Millis(50);
-  /// A change must be everywhere in 12 s, so no wait between tries at peers
-  /// may be a large part of that.
+  /// Limits the wait between fetches from peers. A change must reach every
+  /// daemon within 12 s, so one wait may only be a small part of that.
   Duration MaxBackoff = Seconds(2);
-  /// For the platform, which has outages and counts calls.
+  /// The same for the platform, which has outages and limits the call rate.
   Duration MaxPlatformBackoff = Seconds(15);
-  /// A fetch from a peer that was not answered at all by then has failed. A
-  /// piece of MaxConfigReplyBytes takes a fraction of it; a change must reach
-  /// everyone in 12 s even when a few in a row are lost.
+  /// A fetch from a peer that takes longer has failed. A reply of
+  /// MaxConfigReplyBytes takes a fraction of it, and a change must reach every
+  /// daemon within 12 s even when several fetches in a row are lost.
   Duration PeerFetchTimeout = Millis(1500);
-  /// The same for the platform, where every blob is a call of its own.
+  /// The same for the platform, where every blob is a separate call.
   Duration PlatformFetchTimeout = Seconds(10);
-  /// Between a watcher's reads of the head, each drawn from half to one and a
-  /// half times this. Finds what a silent watch missed.
+  /// Mean time between a watcher's reads of the head, with a random factor of
+  /// 0.5 to 1.5. Finds changes that a silent watch missed.
   Duration AntiEntropy = Seconds(60);
-  /// Failed fetches in a row after which a daemon that is no watcher may ask
-  /// the platform.
+  /// Consecutive failed fetches after which a daemon that is not a watcher may
+  /// use the platform.
   unsigned PlatformAfterFailures = 6;
-  /// Peers told at once after an install: in the own zone, and anywhere.
-  unsigned NearFanout = 3;
-  unsigned FarFanout = 2;
+  /// Peers to announce an installed configuration to, by zone.
+  unsigned SameZoneFanout = 3;
+  unsigned OtherZoneFanout = 2;
 };
 
-/// What "shallotctl explain" tells of the configuration.
+/// The status of the configuration as shown by "shallotctl explain".
 struct ConfigStatus {
-  std::uint64_t Generation = 0; ///< In force; 0: none.
-  Instant Since{};              ///< In force here since.
-  ConfigSource Source;          ///< Where it came from.
+  std::uint64_t Generation = 0; ///< The generation in force; 0 if none.
+  Instant Since{};              ///< When it was installed.
+  ConfigSource Source;          ///< Where it was fetched from.
   std::uint64_t HighestHeard = 0;
   ConfigSource HeardFrom;
   unsigned ConfirmedBy = 0; ///< Peers that have the same generation.
@@ -172,15 +175,15 @@
 
 class ConfigSync {
 public:
-  /// \p Rng must outlive this.
+  /// \p Rng must outlive this object.
   ConfigSync(DaemonId Self, AvailabilityZone Zone, Random &Rng,
-             ConfigSyncRules Rules = {});
+             ConfigSyncOptions Options = {});
 
   // Inputs.
 
-  /// The members seen now; also starts the first fetch.
+  /// Updates the view of the fleet; also starts the first fetch.
   void members(const FleetView &View, Instant Now);
-  /// \p From said that it has \p Generation in force (0: none).
+  /// \p From announced that \p Generation is in force there (0 if none).
   void announced(const DaemonId &From, std::uint64_t Generation, Instant Now);
   /// The platform's watch returned this head.
   void watched(const std::string &HeadJson, Instant Now);
@@ -188,31 +191,31 @@
   void fetchFailed(std::uint64_t Ticket, const Error &Why, Instant Now);
   /// The platform answered that there is no head.
   void platformEmpty(std::uint64_t Ticket, Instant Now);
-  /// A change that this daemon itself has just written to the platform.
+  /// This daemon itself has written this change to the platform.
   void accepted(const ConfigParts &Parts, Instant Now);
-  /// Time passes; call at least ten times a second.
+  /// Handles timeouts and retries; call at least ten times a second.
   void tick(Instant Now);
-  /// This daemon was paused: what it knows may be old. Confirmations are
-  /// forgotten and a peer is asked.
+  /// To be called after a pause: drops all confirmations, which may be out of
+  /// date, and asks a peer.
   void revalidate(Instant Now);
 
-  /// What to do now, in order; empties the list.
+  /// Returns the commands to execute, in order, and clears the list.
   std::vector<ConfigCommand> take();
 
-  // What is in force.
+  // Accessors.
 
-  const ConfigPtr &config() const { return InForce; }
+  const ConfigPtr &config() const { return Current; }
   std::uint64_t generation() const {
-    return InForce ? InForce->generation() : 0;
+    return Current ? Current->generation() : 0;
   }
-  /// How many peers and the platform (as one) are known to have exactly the
-  /// generation in force while none is known to have a higher one. Readiness
-  /// after a start or a pause asks for at least one.
+  /// Number of sources (peers, and the platform as one) known to have exactly
+  /// the generation in force; 0 while any is known to have a higher one.
+  /// Readiness after a start or a pause requires at least one.
   unsigned confirmedBy() const;
   ConfigStatus status() const;
 
-  /// The answer to a peer's fetch. Fails with NoConfiguration, or with
-  /// StaleGeneration when ours is lower than \p MinGeneration.
+  /// The reply to a peer's fetch. Fails with NoConfiguration, or with
+  /// StaleGeneration if the generation in force is below \p MinGeneration.
   Result<ConfigParts> serve(const std::vector<std::string> &Have,
                             std::uint64_t MinGeneration) const;
 
@@ -228,13 +231,14 @@
 
   std::uint64_t highest() const;
   bool behind() const { return highest() > generation(); }
-  bool wantsAny() const { return !InForce || MustAsk || behind(); }
-  void heard(const ConfigSource &From, std::uint64_t Generation, Instant Now);
-  void agree(const ConfigSource &From);
-  void correctClaim(const ConfigSource &From, std::uint64_t Generation);
-  void dropGoneClaims();
-
-  void pursue(Instant Now);
+  bool needsFetch() const { return !Current || MustRevalidate || behind(); }
+  void noteGeneration(const ConfigSource &From, std::uint64_t Generation,
+                      Instant Now);
+  void addConfirmation(const ConfigSource &From);
+  void updateClaim(const ConfigSource &From, std::uint64_t Generation);
+  void dropDepartedPeers();
+
+  void fetchIfNeeded(Instant Now);
   bool tryPlatform(Instant Now);
   bool tryPeer(Instant Now);
   std::uint64_t start(ConfigSource From, Instant Now);
@@ -243,24 +247,24 @@
   const Member *findMember(const DaemonId &Id) const;
   static bool reachable(const Member &M);
   Duration timeoutOf(const Fetch &F) const;
-  void giveUp(Instant Now);
+  void onFetchTimeout(Instant Now);
   void fetchedLate(std::uint64_t Ticket, const ConfigParts &Parts, Instant Now);
   void failed(const ConfigSource &From, Instant Now);
   void succeeded();
 
-  void consider(const ConfigParts &Parts, const ConfigSource &From,
+  void evaluate(const ConfigParts &Parts, const ConfigSource &From,
                 Instant Now);
-  void considerSame(const ConfigParts &Parts, const ConfigSource &From,
+  void evaluateSame(const ConfigParts &Parts, const ConfigSource &From,
                     Instant Now);
-  void considerNewer(const Head &H, const ConfigParts &Parts,
+  void evaluateNewer(const Head &H, const ConfigParts &Parts,
                      const ConfigSource &From, Instant Now);
-  std::size_t absorb(const Head &H, const ConfigParts &Parts,
-                     const ConfigSource &From);
-  BlobMap gather(const Head &H) const;
+  std::size_t storeBlobs(const Head &H, const ConfigParts &Parts,
+                         const ConfigSource &From);
+  BlobMap collectBlobs(const Head &H) const;
   void install(ConfigPtr C, std::string Json, BlobMap All,
                const ConfigSource &From, Instant Now);
-  void invalid(const Head &H, const std::string &Json, const ConfigSource &From,
-               Error Why);
+  void rejectInvalid(const Head &H, const std::string &Json,
+                     const ConfigSource &From, Error Why);
   void reject(std::uint64_t Generation, const ConfigSource &From, Error Why);
   void announce();
   std::vector<std::string> have() const;
@@ -269,41 +273,41 @@
   DaemonId Self;
   AvailabilityZone Zone;
   Random &Rng;
-  ConfigSyncRules Rules;
+  ConfigSyncOptions Options;
   std::vector<ConfigCommand> Out;
 
-  ConfigPtr InForce;
-  std::string HeadJson; ///< Of InForce, as it came.
-  BlobMap Held;         ///< That InForce names.
-  BlobMap Pending;      ///< Fetched for a newer head that is not whole yet.
-  ConfigStatus Stat;
+  ConfigPtr Current;
+  std::string HeadJson; ///< Raw head of Current.
+  BlobMap ActiveBlobs;  ///< Blobs of Current.
+  BlobMap PendingBlobs; ///< Blobs of a newer head that is still incomplete.
+  ConfigStatus Status;
 
   std::vector<Member> Members; ///< Sorted by Id.
-  /// Peers that said they have a higher generation than ours, and which.
-  std::map<DaemonId, std::uint64_t> Ahead;
-  std::set<DaemonId> Agreeing; ///< Peers that have ours.
-  bool PlatformAgrees = false;
+  /// Peers that announced a higher generation than ours, with that generation.
+  std::map<DaemonId, std::uint64_t> PeersAhead;
+  std::set<DaemonId> Confirming; ///< Peers that have our generation.
+  bool PlatformConfirms = false;
   std::uint64_t PlatformClaim = 0;
-  std::string PlatformHead; ///< From the watch; its blobs are not here yet.
-  /// The highest claim of peers that are gone, and how often the platform has
-  /// since said that it knows of nothing so high.
-  std::uint64_t OrphanClaim = 0;
-  unsigned OrphanDenials = 0;
-  /// A generation whose head is whole and fails its checks.
+  std::string PlatformHead; ///< From the watch; its blobs are still missing.
+  /// The highest generation announced by peers that have departed, and how many
+  /// replies of the platform have since reported a lower one.
+  std::uint64_t DepartedClaim = 0;
+  unsigned DepartedDenials = 0;
+  /// A generation that was fetched completely and failed validation.
   std::uint64_t InvalidGeneration = 0;
-  std::string SuspectHead; ///< Hash of the last head that failed its checks.
+  std::string InvalidHeadHash; ///< Of the last head that failed validation.
 
-  std::optional<Fetch> Running;
-  /// Fetches that took too long, by ticket: their answers may yet come.
-  std::map<std::uint64_t, ConfigSource> GivenUp;
+  std::optional<Fetch> ActiveFetch;
+  /// Fetches that timed out, by ticket. Late replies are still accepted.
+  std::map<std::uint64_t, ConfigSource> TimedOut;
   std::uint64_t LastTicket = 0;
-  std::set<DaemonId> Tried; ///< Peers that failed since the last success.
+  std::set<DaemonId> FailedPeers; ///< Failed since the last success.
   unsigned Failures = 0;
   unsigned PlatformFailures = 0;
   Instant NextTry{};
   Instant NextPlatformTry{};
   Instant NextAntiEntropy{};
-  bool MustAsk = false; ///< After a pause: only a fresh answer confirms.
+  bool MustRevalidate = false; ///< After a pause: only a fresh answer confirms.
 };
 
 } // namespace shallot
--- a/packages/fleet/ConfigSyncInstall.cpp
+++ b/packages/fleet/ConfigSyncInstall.cpp
@@ -1,5 +1,4 @@
-// The second half of ConfigSync: judging what came, installing it and passing
-// it on.
+// The second half of ConfigSync: validating, installing and announcing.
 #include "fleet/ConfigSync.h"
 
 #include <algorithm>
@@ -16,8 +15,8 @@
     V(Hash);
 }
 
-/// Puts \p H together from its blobs. Groups that have not changed since
-/// \p Before are copied instead of parsed again.
+/// Builds the configuration of \p H from its blobs. Groups that have not
+/// changed since \p Before are copied instead of parsed again.
 Result<ConfigPtr>
 assemble(const Head &H, const ConfigPtr &Before,
          const std::map<std::string, std::shared_ptr<const std::string>> &All) {
@@ -43,9 +42,9 @@
   return Config::make(H, std::move(Groups), std::move(Presets));
 }
 
-/// \p Count members drawn from \p From.
-void draw(std::vector<DaemonId> From, std::size_t Count, Random &Rng,
-          std::vector<DaemonId> &To) {
+/// Appends \p Count members chosen at random from \p From to \p To.
+void appendRandom(std::vector<DaemonId> From, std::size_t Count, Random &Rng,
+                  std::vector<DaemonId> &To) {
   for (std::size_t I = 0; I < Count && I < From.size(); ++I) {
     std::swap(From[I], From[I + below(Rng, From.size() - I)]);
     To.push_back(From[I]);
@@ -54,36 +53,37 @@
 
 } // namespace
 
-// Judging what came.
+// Validation.
 
 void ConfigSync::fetched(std::uint64_t Ticket, const ConfigParts &Parts,
                          Instant Now) {
-  if (!Running || Running->Ticket != Ticket)
+  if (!ActiveFetch || ActiveFetch->Ticket != Ticket)
     return fetchedLate(Ticket, Parts, Now);
-  ConfigSource From = Running->From;
-  Running.reset();
-  consider(Parts, From, Now);
-  pursue(Now);
+  ConfigSource From = ActiveFetch->From;
+  ActiveFetch.reset();
+  evaluate(Parts, From, Now);
+  fetchIfNeeded(Now);
 }
 
-/// The failure: on a slow link no answer comes in its time. Thrown away, each
-/// one costs the link as much as the next, and the daemon keeps its old
-/// configuration for good. Generation and hashes say what an answer is worth,
-/// whenever it comes; one that is not newer says nothing about its sender now.
+/// Accepts a reply that arrives after the fetch timeout. On a slow link every
+/// reply may be late. If they were discarded, each retry would cost the link
+/// the same bytes again, and the daemon would keep its old configuration
+/// forever. Generation and hashes prove what a reply is worth at any time; one
+/// that is not newer says nothing about the current state of its sender.
 void ConfigSync::fetchedLate(std::uint64_t Ticket, const ConfigParts &Parts,
                              Instant Now) {
-  auto Late = GivenUp.extract(Ticket);
+  auto Late = TimedOut.extract(Ticket);
   if (Late.empty())
     return;
   Attempt<Head> H = attempt([&] { return decodeHead(Parts.HeadJson); });
   if (!H)
     return reject(0, Late.mapped(), H.error());
   if ((*H)->Generation > generation())
-    considerNewer(*H, Parts, Late.mapped(), Now);
-  pursue(Now);
+    evaluateNewer(*H, Parts, Late.mapped(), Now);
+  fetchIfNeeded(Now);
 }
 
-void ConfigSync::consider(const ConfigParts &Parts, const ConfigSource &From,
+void ConfigSync::evaluate(const ConfigParts &Parts, const ConfigSource &From,
                           Instant Now) {
   Attempt<Head> H = attempt([&] { return decodeHead(Parts.HeadJson); });
   if (!H) {
@@ -91,81 +91,81 @@
     return failed(From, Now);
   }
   std::uint64_t Generation = (*H)->Generation;
-  correctClaim(From, Generation);
-  heard(From, Generation, Now);
+  updateClaim(From, Generation);
+  noteGeneration(From, Generation, Now);
   if (Generation > generation())
-    return considerNewer(*H, Parts, From, Now);
+    return evaluateNewer(*H, Parts, From, Now);
   if (Generation == generation())
-    return considerSame(Parts, From, Now);
+    return evaluateSame(Parts, From, Now);
   reject(Generation, From,
          {ResultCode::StaleGeneration,
-          fmt::format("generation {} was offered, {} is in force", Generation,
+          fmt::format("received generation {}, but {} is in force", Generation,
                       generation())});
   failed(From, Now);
 }
 
-void ConfigSync::considerSame(const ConfigParts &Parts,
+void ConfigSync::evaluateSame(const ConfigParts &Parts,
                               const ConfigSource &From, Instant Now) {
   if (Parts.HeadJson != HeadJson) {
     reject(generation(), From,
            {ResultCode::ContentMismatch,
-            fmt::format("another head has generation {} too", generation())});
+            fmt::format("different head with generation {}", generation())});
     return failed(From, Now);
   }
-  agree(From);
+  addConfirmation(From);
   if (behind())
     return failed(From, Now);
   succeeded();
 }
 
-void ConfigSync::considerNewer(const Head &H, const ConfigParts &Parts,
+void ConfigSync::evaluateNewer(const Head &H, const ConfigParts &Parts,
                                const ConfigSource &From, Instant Now) {
-  std::size_t Gained = absorb(H, Parts, From);
-  BlobMap All = gather(H);
+  std::size_t Added = storeBlobs(H, Parts, From);
+  BlobMap All = collectBlobs(H);
   if (All.empty()) {
-    // Large answers come in pieces: as long as each brings something, the rest
-    // is asked for at once.
-    if (Gained == 0)
+    // Large configurations arrive in several replies. As long as each adds
+    // something, the rest is requested at once.
+    if (Added == 0)
       failed(From, Now);
     return;
   }
-  Attempt<ConfigPtr> C = attempt([&] { return assemble(H, InForce, All); });
+  Attempt<ConfigPtr> C = attempt([&] { return assemble(H, Current, All); });
   if (C)
     return install(*C, Parts.HeadJson, std::move(All), From, Now);
-  invalid(H, Parts.HeadJson, From, C.error());
+  rejectInvalid(H, Parts.HeadJson, From, C.error());
   failed(From, Now);
 }
 
-std::size_t ConfigSync::absorb(const Head &H, const ConfigParts &Parts,
-                               const ConfigSource &From) {
+std::size_t ConfigSync::storeBlobs(const Head &H, const ConfigParts &Parts,
+                                   const ConfigSource &From) {
   BlobMap Kept;
-  std::size_t Gained = 0;
+  std::size_t Added = 0;
   forEachHash(H, [&](const std::string &Hash) {
-    if (auto Old = Pending.find(Hash); Old != Pending.end())
+    if (auto Old = PendingBlobs.find(Hash); Old != PendingBlobs.end())
       Kept.insert(*Old);
     auto New = Parts.Blobs.find(Hash);
     if (New == Parts.Blobs.end() || Kept.contains(Hash))
       return;
-    // A blob cut short or mixed up on its way would put a configuration in
-    // force that nobody wrote; its name is its hash, so it shows.
+    // A truncated or mixed-up blob would put a configuration in force that
+    // nobody wrote. Blobs are named by their hash, which detects it.
     if (contentHash(New->second) != Hash)
       return reject(H->Generation, From,
                     {ResultCode::ContentMismatch, "blob " + Hash});
     Kept[Hash] = std::make_shared<const std::string>(New->second);
-    ++Gained;
+    ++Added;
   });
-  Pending = std::move(Kept);
-  return Gained;
+  PendingBlobs = std::move(Kept);
+  return Added;
 }
 
-/// Every blob that \p H names, or none when one is missing.
-ConfigSync::BlobMap ConfigSync::gather(const Head &H) const {
+/// Returns all blobs that \p H names, or none if any is missing.
+ConfigSync::BlobMap ConfigSync::collectBlobs(const Head &H) const {
   BlobMap All;
   bool Whole = true;
   forEachHash(H, [&](const std::string &Hash) {
-    if (auto It = Held.find(Hash); It != Held.end())
+    if (auto It = ActiveBlobs.find(Hash); It != ActiveBlobs.end())
       All.insert(*It);
-    else if (auto New = Pending.find(Hash); New != Pending.end())
+    else if (auto New = PendingBlobs.find(Hash); New != PendingBlobs.end())
       All.insert(*New);
     else
       Whole = false;
@@ -175,69 +175,69 @@
 
 void ConfigSync::install(ConfigPtr C, std::string Json, BlobMap All,
                          const ConfigSource &From, Instant Now) {
-  InForce = std::move(C);
+  Current = std::move(C);
   HeadJson = std::move(Json);
-  Held = std::move(All);
-  Pending.clear();
+  ActiveBlobs = std::move(All);
+  PendingBlobs.clear();
   PlatformHead.clear();
-  Stat.Since = Now;
-  Stat.Source = From;
-  ++Stat.Installs;
-  Agreeing.clear();
-  PlatformAgrees = PlatformClaim == generation();
-  for (const auto &[Peer, Claim] : Ahead)
+  Status.Since = Now;
+  Status.Source = From;
+  ++Status.Installs;
+  Confirming.clear();
+  PlatformConfirms = PlatformClaim == generation();
+  for (const auto &[Peer, Claim] : PeersAhead)
     if (Claim == generation())
-      agree({ConfigSource::Kind::Peer, Peer});
-  std::erase_if(
-      Ahead, [&](const auto &Claim) { return Claim.second <= generation(); });
-  agree(From);
+      addConfirmation({ConfigSource::Kind::Peer, Peer});
+  std::erase_if(PeersAhead, [&](const auto &Claim) {
+    return Claim.second <= generation();
+  });
+  addConfirmation(From);
   succeeded();
   NextTry = Now;
-  Out.emplace_back(InstalledConfig{InForce, From});
+  Out.emplace_back(InstalledConfig{Current, From});
   announce();
 }
 
-void ConfigSync::invalid(const Head &H, const std::string &Json,
-                         const ConfigSource &From, Error Why) {
+void ConfigSync::rejectInvalid(const Head &H, const std::string &Json,
+                               const ConfigSource &From, Error Why) {
   std::string Hash = contentHash(Json);
-  // One peer may have garbled its head; the platform, or a second peer with
-  // the same bytes, means that the change itself is broken. From then on it
-  // counts as not there, so that it holds up neither readiness nor later
-  // changes.
-  if (From.From != ConfigSource::Kind::Peer || SuspectHead == Hash)
+  // One peer may have corrupted its head. If the platform, or a second peer
+  // with the same bytes, has it too, the change itself is invalid. From then on
+  // it is ignored, so that it blocks neither readiness nor later changes.
+  if (From.From != ConfigSource::Kind::Peer || InvalidHeadHash == Hash)
     InvalidGeneration = H->Generation;
-  if (SuspectHead != Hash)
+  if (InvalidHeadHash != Hash)
     reject(H->Generation, From, std::move(Why));
-  SuspectHead = Hash;
+  InvalidHeadHash = Hash;
 }
 
 void ConfigSync::reject(std::uint64_t Generation, const ConfigSource &From,
                         Error Why) {
-  ++Stat.Rejections;
-  Stat.LastRejection = Why;
+  ++Status.Rejections;
+  Status.LastRejection = Why;
   Out.push_back(RejectedConfig{Generation, From, std::move(Why)});
 }
 
-// Passing on.
+// Announcement and replies to peers.
 
 void ConfigSync::announce() {
-  std::vector<DaemonId> Near;
-  std::vector<DaemonId> Far;
+  std::vector<DaemonId> SameZone;
+  std::vector<DaemonId> OtherZone;
   for (const Member &M : Members) {
-    if (M.Id == Self || !reachable(M) || Agreeing.contains(M.Id))
+    if (M.Id == Self || !reachable(M) || Confirming.contains(M.Id))
       continue;
-    (M.Zone == Zone ? Near : Far).push_back(M.Id);
+    (M.Zone == Zone ? SameZone : OtherZone).push_back(M.Id);
   }
   AnnounceTo A{generation(), {}};
-  draw(std::move(Near), Rules.NearFanout, Rng, A.Peers);
-  draw(std::move(Far), Rules.FarFanout, Rng, A.Peers);
+  appendRandom(std::move(SameZone), Options.SameZoneFanout, Rng, A.Peers);
+  appendRandom(std::move(OtherZone), Options.OtherZoneFanout, Rng, A.Peers);
   if (!A.Peers.empty())
     Out.push_back(std::move(A));
 }
 
 std::vector<std::string> ConfigSync::have() const {
   std::vector<std::string> Hashes;
-  for (const BlobMap *Map : {&Held, &Pending})
+  for (const BlobMap *Map : {&ActiveBlobs, &PendingBlobs})
     for (const auto &[Hash, Bytes] : *Map)
       if (Hashes.size() < MaxHaveHashes)
         Hashes.push_back(Hash);
@@ -247,16 +247,16 @@
 
 Result<ConfigParts> ConfigSync::serve(const std::vector<std::string> &Have,
                                       std::uint64_t MinGeneration) const {
-  if (!InForce)
-    return fail(ResultCode::NoConfiguration, "this daemon has none yet");
+  if (!Current)
+    return fail(ResultCode::NoConfiguration, "no configuration installed yet");
   if (generation() < MinGeneration)
     return fail(ResultCode::StaleGeneration,
-                fmt::format("generation {} asked for, {} is in force here",
+                fmt::format("generation {} requested, but {} is in force here",
                             MinGeneration, generation()));
   std::set<std::string_view> Known(Have.begin(), Have.end());
   ConfigParts Parts{HeadJson, {}};
   std::size_t Bytes = 0;
-  for (const auto &[Hash, Content] : Held) {
+  for (const auto &[Hash, Content] : ActiveBlobs) {
     if (Known.contains(Hash) || Bytes >= MaxConfigReplyBytes)
       continue;
     Bytes += Content->size();
--- a/packages/fleet/EntryDirectory.cpp
+++ b/packages/fleet/EntryDirectory.cpp
@@ -7,29 +7,29 @@
 namespace shallot {
 namespace {
 
-/// A caller's validity is 1 -/+ this times the base.
+/// The validity of a caller varies by this fraction around the base.
 constexpr double ValiditySpread = 0.25;
 
-/// A member that has just become Alive gets this share of its callers, so that
-/// a fleet of new members still serves and the logarithm stays finite.
-constexpr double LeastWeight = 0.01;
+/// The weight of a member that has just become Alive. Above zero, so that a
+/// fleet of new members still serves and the score stays finite.
+constexpr double MinWeight = 0.01;
 
-constexpr std::size_t MostAddresses = 8;
+constexpr std::size_t MaxAddresses = 8;
 
-/// A number in (0, 1) from 53 bits of \p Hash.
-double unit(std::uint64_t Hash) {
+/// Maps 53 bits of \p Hash to the open interval (0, 1).
+double toUnitInterval(std::uint64_t Hash) {
   return (static_cast<double>(Hash >> 11) + 0.5) * 0x1p-53;
 }
 
-enum class Nearness : std::uint8_t { Zone, Region, Far };
+enum class Proximity : std::uint8_t { Zone, Region, Far };
 
-std::string_view whyOf(Nearness N) {
+std::string_view reasonFor(Proximity N) {
   switch (N) {
-  case Nearness::Zone:
+  case Proximity::Zone:
     return "same zone";
-  case Nearness::Region:
+  case Proximity::Region:
     return "same region";
-  case Nearness::Far:
+  case Proximity::Far:
     return "another region";
   }
   return "";
@@ -37,17 +37,17 @@
 
 struct Candidate {
   const Member *Who = nullptr;
-  Nearness Near = Nearness::Far;
-  double Score = 0; ///< Smaller is better.
+  Proximity Distance = Proximity::Far;
+  double Score = 0; ///< Lower is better.
 
-  /// Suspects after all others, then near before far, then rendezvous.
+  /// Orders by suspicion, then by proximity, then by rendezvous score.
   auto rank() const {
-    return std::tuple(Who->State == MemberState::Suspect, Near, Score);
+    return std::tuple(Who->State == MemberState::Suspect, Distance, Score);
   }
 };
 
-/// The region of a zone, by any member that was ever seen there, also a failed
-/// one: a zone whose members all went still has a region.
+/// The region of a zone, taken from any member seen there, including Failed
+/// ones, so that a zone without live members still has a region.
 const Region *regionOf(const FleetView &View, const AvailabilityZone &Zone) {
   if (Zone.empty())
     return nullptr;
@@ -58,20 +58,21 @@
 }
 
 double weightOf(const EntryWeight &Weight, const DaemonId &Id) {
-  return Weight ? std::clamp(Weight(Id), LeastWeight, 1.0) : 1.0;
+  return Weight ? std::clamp(Weight(Id), MinWeight, 1.0) : 1.0;
 }
 
-Nearness nearness(const Member &M, const AvailabilityZone &Zone,
-                  const Region *Reg) {
+Proximity proximityOf(const Member &M, const AvailabilityZone &Zone,
+                      const Region *Reg) {
   if (M.Zone == Zone)
-    return Nearness::Zone;
-  return Reg && M.Reg == *Reg ? Nearness::Region : Nearness::Far;
+    return Proximity::Zone;
+  return Reg && M.Reg == *Reg ? Proximity::Region : Proximity::Far;
 }
 
 /// Scores every member that takes new work by weighted rendezvous hashing.
-/// A caller counts its zone as near only as far as the zone is warm: when a
-/// whole zone comes back at once, weights inside of it say nothing, and all of
-/// its callers would be sent to cold members together.
+/// Only a share of the callers equal to the mean weight of their zone prefers
+/// that zone. When a whole zone comes back at once, weights within it do not
+/// tell its members apart, and all of its callers would be sent to cold members
+/// at the same time.
 std::vector<Candidate> candidates(const FleetView &View, std::uint64_t KeyHash,
                                   const AvailabilityZone &Zone,
                                   const EntryWeight &Weight) {
@@ -84,33 +85,34 @@
     if (!takesNewWork(M))
       continue;
     double W = weightOf(Weight, M.Id);
-    Candidate C{&M, nearness(M, Zone, Reg)};
-    C.Score = -std::log(unit(hash64(M.Id.Host.str(), KeyHash))) / W;
-    InZone += C.Near == Nearness::Zone;
-    ZoneWeight += C.Near == Nearness::Zone ? W : 0;
+    Candidate C{&M, proximityOf(M, Zone, Reg)};
+    C.Score = -std::log(toUnitInterval(hash64(M.Id.Host.str(), KeyHash))) / W;
+    InZone += C.Distance == Proximity::Zone;
+    ZoneWeight += C.Distance == Proximity::Zone ? W : 0;
     Found.push_back(C);
   }
-  bool Warm = InZone == 0 || unit(hash64(Zone.str(), KeyHash)) <=
-                                 ZoneWeight / static_cast<double>(InZone);
+  bool ZoneIsWarm =
+      InZone == 0 || toUnitInterval(hash64(Zone.str(), KeyHash)) <=
+                         ZoneWeight / static_cast<double>(InZone);
   for (Candidate &C : Found)
-    if (!Warm && C.Near == Nearness::Zone)
-      C.Near = Nearness::Region;
+    if (!ZoneIsWarm && C.Distance == Proximity::Zone)
+      C.Distance = Proximity::Region;
   return Found;
 }
 
-/// Puts the best in the first \p Places, in order. When all of these are in one
-/// zone, the best from any other zone takes the last place.
-void putBestFirst(std::vector<Candidate> &All, std::size_t Places) {
+/// Sorts the best candidates into the first \p Places. If all of these are in
+/// one zone, the best candidate of any other zone takes the last place.
+void moveBestToFront(std::vector<Candidate> &All, std::size_t Places) {
   auto Last = All.begin() + static_cast<std::ptrdiff_t>(Places);
   std::ranges::partial_sort(All, Last, {}, &Candidate::rank);
   if (Places < 2)
     return;
-  auto Elsewhere = [&](const Candidate &C) {
+  auto InOtherZone = [&](const Candidate &C) {
     return C.Who->Zone != All.front().Who->Zone;
   };
-  if (std::any_of(All.begin(), Last, Elsewhere))
+  if (std::any_of(All.begin(), Last, InOtherZone))
     return;
-  auto Rest = std::partition(Last, All.end(), Elsewhere);
+  auto Rest = std::partition(Last, All.end(), InOtherZone);
   auto Best = std::ranges::min_element(Last, Rest, {}, &Candidate::rank);
   if (Best != Rest)
     std::iter_swap(Last - 1, Best);
@@ -123,10 +125,10 @@
 }
 
 Result<EntryDirectory> EntryDirectory::make(EntryOptions Options) {
-  if (Options.Addresses < 1 || Options.Addresses > MostAddresses)
+  if (Options.Addresses < 1 || Options.Addresses > MaxAddresses)
     return fail(ResultCode::SettingsInvalid,
                 fmt::format("entry: {} addresses, allowed are 1 to {}",
-                            Options.Addresses, MostAddresses));
+                            Options.Addresses, MaxAddresses));
   if (Options.Validity < Seconds(1) || Options.Validity > Seconds(3600))
     return fail(ResultCode::SettingsInvalid,
                 fmt::format("entry: validity {} ms, allowed are 1 s to 1 h",
@@ -141,15 +143,16 @@
   std::uint64_t KeyHash = hash64(CallerKey);
   std::vector<Candidate> Sorted = candidates(View, KeyHash, Zone, Weight);
   std::size_t Places = std::min(Options.Addresses, Sorted.size());
-  putBestFirst(Sorted, Places);
+  moveBestToFront(Sorted, Places);
   EntryAnswer A;
   A.ViewNumber = View.Number;
-  double Jitter = 2 * unit(hash64("validity", KeyHash)) - 1;
+  double Jitter = 2 * toUnitInterval(hash64("validity", KeyHash)) - 1;
   A.Validity =
       fromMillisF(toMillisF(Options.Validity) * (1 + ValiditySpread * Jitter));
   for (std::size_t N = 0; N < Places; ++N) {
     const Member &M = *Sorted[N].Who;
-    A.Addresses.push_back({M.Id, M.Http, M.Zone, whyOf(Sorted[N].Near)});
+    A.Addresses.push_back(
+        {M.Id, M.Http, M.Zone, reasonFor(Sorted[N].Distance)});
   }
   return A;
 }
--- a/packages/fleet/EntryDirectory.h
+++ b/packages/fleet/EntryDirectory.h
@@ -1,20 +1,20 @@
-//===- EntryDirectory.h - Where callers connect -----------------*- C++ -*-===//
+//===- EntryDirectory.h - Addresses for callers -----------------*- C++ -*-===//
 //
-// No balancer stands before the fleet: a caller asks any daemon which
-// addresses to use, caches the answer for a while and connects there. The
-// answer is a pure function of the picture of the fleet, the caller's key and
-// its zone, so every daemon gives the same one, also while the platform is
-// down.
+// There is no load balancer in front of the fleet. A caller asks any daemon for
+// addresses, caches the answer for its validity and connects to them. The
+// answer is a pure function of the fleet view, the caller's key and its zone,
+// so every daemon gives the same one, also while the platform is down.
 //
-//   - rendezvous hashing: stable, spread, and a member that goes moves only
-//     its own callers, evenly to all that remain;
-//   - members of the caller's zone first, then of its region, then others;
-//   - the last address is in another zone than the first, so that a lost zone
-//     leaves every caller a way without asking;
-//   - the validity differs from caller to caller, so that they do not all ask
-//     again at once;
-//   - only Alive members, and suspects after all of these: never one that is
-//     starting, leaving, failed or gone.
+//   - Members are ranked by weighted rendezvous hashing. When a member fails,
+//     only its own callers move, spread evenly over the remaining members.
+//   - Members of the caller's zone rank first, then those of its region, then
+//     all others.
+//   - The last address is in another zone than the first, so that a caller can
+//     fail over without asking again when a zone fails.
+//   - The validity varies from caller to caller, so that callers do not all ask
+//     again at the same time.
+//   - Only Alive members are returned, followed by suspected ones; never one
+//     that is Starting, Leaving, Failed or Left.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_ENTRYDIRECTORY_H
@@ -31,14 +31,14 @@
 
 struct EntryOptions {
   std::size_t Addresses = 3;
-  /// Each caller's validity is within a quarter of this, up or down. A leaving
-  /// daemon serves on for the longest of these.
+  /// The validity of each caller is within a quarter of this. A leaving daemon
+  /// keeps serving for the longest validity.
   Duration Validity = Seconds(20);
-  /// A member that became Alive reaches its full share over this time.
+  /// The weight of a member grows to 1 over this time after it became Alive.
   Duration WarmUp = Seconds(30);
 };
 
-/// The longest validity that any caller is given under \p Options.
+/// Returns the longest validity that \p Options allow for any caller.
 Duration longestValidity(const EntryOptions &Options);
 
 struct EntryAddress {
@@ -51,15 +51,14 @@
 };
 
 struct EntryAnswer {
-  std::vector<EntryAddress> Addresses; ///< To be tried in this order.
+  std::vector<EntryAddress> Addresses; ///< In order of preference.
   Duration Validity{};
   std::uint64_t ViewNumber = 0;
 
   friend bool operator==(const EntryAnswer &, const EntryAnswer &) = default;
 };
 
-/// The share of its callers that a member gets yet, from 0 to 1
-/// (Membership::warmth).
+/// The weight of a member from 0 to 1 (Membership::warmUpFraction).
 using EntryWeight = std::function<double(const DaemonId &)>;
 
 class EntryDirectory {
@@ -67,8 +66,9 @@
   /// Fails with SettingsInvalid when an option is out of its range.
   static Result<EntryDirectory> make(EntryOptions Options);
 
-  /// The addresses for one caller. An unknown or empty zone spreads the caller
-  /// over the whole fleet. Empty when no member takes new work.
+  /// Returns the addresses for one caller. A caller whose zone is unknown or
+  /// empty is spread over the whole fleet. The list is empty when no member
+  /// takes new work.
   EntryAnswer answer(const FleetView &View, std::string_view CallerKey,
                      const AvailabilityZone &Zone,
                      const EntryWeight &Weight = {}) const;
--- a/packages/fleet/GossipMessage.cpp
+++ b/packages/fleet/GossipMessage.cpp
@@ -7,24 +7,24 @@
 
 constexpr std::size_t WordBytes = 8;
 
-/// A text in Cap'n Proto: a pointer, and the bytes with a closing zero filled
-/// up to whole words.
+/// Size of a text in Cap'n Proto: a pointer, and the bytes with a terminating
+/// zero, padded to whole words.
 std::size_t textBytes(const std::string &Text) {
   return WordBytes + (Text.size() + WordBytes) / WordBytes * WordBytes;
 }
 
-/// Numbers of an update: incarnation, version, three addresses and ports,
-/// state, health, capacity and load.
+/// Numeric fields of an update: incarnation, version, three addresses and
+/// ports, state, health, capacity and load.
 constexpr std::size_t UpdateNumberBytes = 6 * WordBytes;
 
-/// Numbers of a message: kind, sequence, the target's incarnation and address,
-/// generation, head, buckets and two revisions.
+/// Numeric fields of a message: kind, sequence, the target's incarnation and
+/// address, generation, head, buckets and two revisions.
 constexpr std::size_t MessageNumberBytes = 8 * WordBytes;
 /// Pointers to the sender, digests, updates and the root, the tag of the list
 /// of updates, and the segment table.
 constexpr std::size_t MessagePointerBytes = 6 * WordBytes;
 
-bool isSaidOfItself(MemberState S) {
+bool isSelfReported(MemberState S) {
   return S != MemberState::Suspect && S != MemberState::Failed;
 }
 
@@ -32,10 +32,10 @@
   auto Host = checkName(U.Who.Id.Host.str(), "gossip: host");
   if (!Host)
     return Host.error();
-  if (!isSaidOfItself(U.Who.State))
+  if (!isSelfReported(U.Who.State))
     return fail(ResultCode::PeerBadMessage,
-                fmt::format("gossip: '{}' cannot say of itself that it is "
-                            "suspect or failed",
+                fmt::format("gossip: '{}' announced itself as suspect or "
+                            "failed, which only others may report",
                             U.Who.Id.str()));
   if (U.Who.Gossip.Port == 0)
     return fail(
@@ -71,8 +71,8 @@
   std::size_t Digests = M.Kind == GossipKind::SyncRequest ? GossipBuckets : 0;
   if (M.Digests.size() != Digests)
     return fail(ResultCode::PeerBadMessage,
-                fmt::format("gossip: {} digests in place of {}",
-                            M.Digests.size(), Digests));
+                fmt::format("gossip: {} digests, expected {}", M.Digests.size(),
+                            Digests));
   auto Sender = checkUpdate(M.Sender);
   if (!Sender)
     return Sender.error();
--- a/packages/fleet/GossipMessage.h
+++ b/packages/fleet/GossipMessage.h
@@ -1,15 +1,15 @@
-//===- GossipMessage.h - What members say to each other ---------*- C++ -*-===//
+//===- GossipMessage.h - Messages of the membership protocol ----*- C++ -*-===//
 //
-// The messages of the membership protocol as plain values; package peer turns
-// them into datagrams and back. Every message carries the sender's word on
-// itself and a few of its newest member updates, so that news spreads on the
-// probes that are sent anyway and costs no messages of its own.
+// The messages of the membership protocol as plain values; package peer encodes
+// and decodes datagrams. Every message carries the sender's own state and a few
+// recent member updates, so that updates are piggybacked on probes and need no
+// messages of their own.
 //
-// Facts about one member are ordered by (incarnation, version, health): the
-// incarnation changes at every start, the version is raised by the member
-// itself whenever its state changes or it refutes an accusation, and health is
-// what others think. The largest wins wherever it is heard, in any order and
-// any number of times, so that lost, late and repeated messages do no harm.
+// Updates about one member are ordered by (incarnation, version, health). The
+// incarnation changes at every start. The member itself raises the version
+// when its state changes or it refutes an accusation. Health is what others
+// observed. The largest update wins in any order and with any repetition, so
+// lost, late and duplicate messages do no harm.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_GOSSIPMESSAGE_H
@@ -23,45 +23,45 @@
 
 namespace shallot {
 
-/// The largest datagram, in bytes: it passes every link without being cut
-/// into fragments, of which one lost loses all.
+/// The largest datagram in bytes. It passes every link without fragmentation;
+/// the loss of a single fragment would lose the whole datagram.
 inline constexpr std::size_t MaxGossipBytes = 1200;
 
-/// The most member updates in one message; the bytes usually bind first.
+/// The most member updates per message; usually MaxGossipBytes binds first.
 inline constexpr std::size_t MaxGossipUpdates = 24;
 
-/// The table of members is compared in this many parts, one bit each in
-/// GossipMessage::Buckets. 64 parts of 27 members at 1,700.
+/// The number of buckets in which member tables are compared, one bit each in
+/// GossipMessage::Buckets. With 1,700 members, each of the 64 has about 27.
 inline constexpr std::size_t GossipBuckets = 64;
 
 enum class GossipKind : std::uint8_t {
-  Probe,         ///< Are you there? Answered by Ack.
-  Ack,           ///< Answers a Probe, or passes on the answer to a helper.
-  IndirectProbe, ///< Probe Target for me; answered by Ack or Nack.
-  Nack,          ///< I am there, but Target did not answer me either.
-  SyncRequest,   ///< Here are my digests; send what differs.
-  SyncReply,     ///< Members of the parts that differ, in Updates.
-  SyncPush,      ///< The other half: the asker's members of those parts.
-  Notice,        ///< News that needs no answer.
+  Probe,         ///< Checks that the target is alive; answered by Ack.
+  Ack,           ///< Answers a Probe, or relays the answer to a helper.
+  IndirectProbe, ///< Asks a helper to probe Target; answered by Ack or Nack.
+  Nack,          ///< The helper is alive, but Target did not answer it.
+  SyncRequest,   ///< Sends digests and asks for the buckets that differ.
+  SyncReply,     ///< Sends members of the buckets that differ, in Updates.
+  SyncPush,      ///< Sends the requester's members of these buckets back.
+  Notice,        ///< Sends updates; not answered.
 };
 
-/// What others think of a member.
+/// The health of a member as observed by others.
 enum class Health : std::uint8_t { Trusted, Suspect, Failed };
 
-/// One fact about one member. Who.State is what the member last said of
-/// itself (Starting, Alive, Leaving or Left), never Suspect or Failed.
+/// An update about one member. Who.State is what the member last announced
+/// (Starting, Alive, Leaving or Left), never Suspect or Failed.
 struct MemberUpdate {
   Member Who;
   std::uint64_t Version = 0;
   Health ObservedHealth = Health::Trusted;
-  HostId Accuser; ///< Who thinks so; empty when Trusted.
+  HostId Accuser; ///< The member that observed it; empty when Trusted.
 
   friend bool operator==(const MemberUpdate &, const MemberUpdate &) = default;
 };
 
-/// How far a daemon has read what the store holds beside the configuration.
+/// Revisions of the store's other objects that a daemon has read.
 struct StoreRevisions {
-  std::uint64_t Quarantine = 0; ///< Requests that crash replicas.
+  std::uint64_t Quarantine = 0; ///< Of the requests that crash replicas.
   std::uint64_t Evacuations = 0;
 
   friend bool operator==(const StoreRevisions &,
@@ -70,20 +70,20 @@
 
 struct GossipMessage {
   GossipKind Kind = GossipKind::Notice;
-  MemberUpdate Sender; ///< The sender's word on itself.
-  /// Matches a reply to what it answers; unique for one run of the asker.
+  MemberUpdate Sender; ///< The sender's own state.
+  /// Matches replies to requests; unique within one run of the requester.
   std::uint64_t Sequence = 0;
-  /// Probe, IndirectProbe, Nack and passed-on Ack: the member that is meant.
-  /// An empty host means whoever listens there.
+  /// Probe, IndirectProbe, Nack and relayed Ack: the member that is probed. An
+  /// empty host matches any daemon at the endpoint.
   DaemonId Target;
-  /// IndirectProbe: where Target listens.
+  /// IndirectProbe: the endpoint of Target.
   Endpoint TargetGossip;
-  /// The configuration that the sender has in force.
+  /// The configuration in force at the sender.
   std::uint64_t ConfigGeneration = 0;
-  std::uint64_t ConfigHead = 0; ///< Hash of its head.
-  StoreRevisions Revisions;     ///< That the sender has read.
-  /// SyncReply: parts that differ and that the replier wants in return.
-  /// SyncPush: parts that are sent.
+  std::uint64_t ConfigHead = 0; ///< Hash of the configuration head.
+  StoreRevisions Revisions;     ///< Read by the sender.
+  /// SyncReply: buckets that differ, requested in return. SyncPush: buckets
+  /// sent.
   std::uint64_t Buckets = 0;
   /// SyncRequest: GossipBuckets digests; otherwise empty.
   std::vector<std::uint32_t> Digests;
@@ -93,18 +93,18 @@
                          const GossipMessage &) = default;
 };
 
-/// The bytes of \p U in a datagram, never less than the codec's (unpacked
-/// Cap'n Proto, addresses as numbers).
+/// Upper bound of the encoded size of \p U (unpacked Cap'n Proto, addresses as
+/// numbers).
 std::size_t wireBytes(const MemberUpdate &U);
 
-/// The bytes of \p M as a datagram, never less than the codec's.
+/// Upper bound of the size of \p M as a datagram.
 std::size_t wireBytes(const GossipMessage &M);
 
-/// What anyone can check of a message from outside: bounded lists, a named
-/// sender, states that members say of themselves. Fails with PeerBadMessage.
+/// Checks what can be checked of a message without context: sizes of lists, the
+/// sender's name and the announced states. Fails with PeerBadMessage.
 Result<void> checkMessage(const GossipMessage &M);
 
-/// Orders two facts about the same host: incarnation, version, health.
+/// Orders updates about one host by incarnation, version and health.
 std::strong_ordering newer(const MemberUpdate &A, const MemberUpdate &B);
 
 } // namespace shallot
--- a/packages/fleet/Lifecycle.cpp
+++ b/packages/fleet/Lifecycle.cpp
@@ -6,8 +6,8 @@
 namespace shallot {
 namespace {
 
-/// Why a daemon with these facts is not ready; empty when it is.
-std::string whyNotReady(const LifecycleFacts &F, unsigned ConfirmingPeers) {
+/// Returns why a daemon with these facts is not ready; empty if it is.
+std::string notReadyReason(const LifecycleFacts &F, unsigned ConfirmingPeers) {
   bool Heard = F.PlatformAnswered || F.PeersHeard > 0;
   if (!F.ConfigInstalled && !Heard)
     return "neither the platform nor any peer has answered";
@@ -27,12 +27,12 @@
   std::size_t Needed = std::min<std::size_t>(ConfirmingPeers, F.PeersKnown);
   if (F.PeersConfirm < Needed)
     return fmt::format("the configuration is confirmed by {} peers, {} are "
-                       "needed while the platform is silent",
+                       "needed while the platform does not answer",
                        F.PeersConfirm, Needed);
   return {};
 }
 
-MemberState declared(Phase P) {
+MemberState memberStateFor(Phase P) {
   switch (P) {
   case Phase::Starting:
     return MemberState::Starting;
@@ -76,7 +76,7 @@
 }
 
 Lifecycle::Lifecycle(LifecycleOptions Options, Instant Now)
-    : Options(Options), Since(Now), Why("just started") {}
+    : Options(Options), Since(Now), Why("daemon started") {}
 
 LifecycleOutput Lifecycle::onTick(const LifecycleFacts &Facts, Instant Now) {
   Phase Before = P;
@@ -89,8 +89,8 @@
   return output(Before);
 }
 
-/// A daemon that never was ready was in no caller's hands: it has nothing to
-/// wait for.
+/// A daemon that was never ready was never handed out to callers, so it skips
+/// Leaving.
 LifecycleOutput Lifecycle::requestStop(Instant Now) {
   Phase Before = P;
   if (P == Phase::Starting)
@@ -107,7 +107,7 @@
 }
 
 void Lifecycle::tickStarting(const LifecycleFacts &Facts, Instant Now) {
-  std::string Reason = whyNotReady(Facts, Options.ConfirmingPeers);
+  std::string Reason = notReadyReason(Facts, Options.ConfirmingPeers);
   if (!Reason.empty()) {
     Why = std::move(Reason);
     return;
@@ -125,15 +125,15 @@
   if (Served < Options.EntryValidity + Options.LeaveMargin)
     return;
   enter(Phase::Draining,
-        fmt::format("no caller may hold this address any more; {} requests "
-                    "run",
+        fmt::format("all cached entry addresses have expired; {} requests "
+                    "in flight",
                     Facts.InFlight),
         Now);
 }
 
 void Lifecycle::tickDraining(const LifecycleFacts &Facts, Instant Now) {
   if (Facts.InFlight == 0)
-    return enter(Phase::Gone, "all requests were finished", Now);
+    return enter(Phase::Gone, "all requests have finished", Now);
   if (Now - Since >= Options.DrainLimit)
     enter(Phase::Gone,
           fmt::format("{} requests did not finish within {} ms", Facts.InFlight,
@@ -151,7 +151,7 @@
   LifecycleOutput Out;
   Out.Changed = P != Before;
   Out.Now = P;
-  Out.Declare = declared(P);
+  Out.Declare = memberStateFor(P);
   Out.AcceptConnections = P < Phase::Draining;
   Out.TakeRequests = P == Phase::Ready || P == Phase::Leaving;
   Out.CloseAfterReply = P >= Phase::Leaving;
--- a/packages/fleet/Lifecycle.h
+++ b/packages/fleet/Lifecycle.h
@@ -1,13 +1,14 @@
-//===- Lifecycle.h - How a daemon starts and stops --------------*- C++ -*-===//
+//===- Lifecycle.h - Start and shutdown of a daemon -------------*- C++ -*-===//
 //
 //   Starting -> Ready -> Leaving -> Draining -> Gone
 //
-// A daemon starts with nothing and is Ready only when it can answer truthfully:
-// it has a configuration that others confirm as the newest, and a settled
-// picture of the fleet. A planned stop cuts off nobody: while Leaving it gets
-// no new callers but serves those that cached its address, for as long as any
-// of them may; while Draining it accepts no connection and finishes what runs.
-// Both have a bound, so a stop always ends.
+// A daemon keeps no state across restarts. It becomes Ready once peers or the
+// platform have confirmed its configuration as the newest and its view of the
+// fleet has settled. A planned stop interrupts no caller: in Leaving the daemon
+// is not handed out to new callers, but serves those that cached its address
+// until every cached answer has expired; in Draining it accepts no connections
+// and finishes the requests in flight. Both phases are bounded, so a stop
+// always ends.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_LIFECYCLE_H
@@ -28,45 +29,45 @@
   /// The longest time that a caller may use a cached address
   /// (longestValidity()).
   Duration EntryValidity = Seconds(25);
-  /// Added to it: the time for the word "leaving" to reach every daemon that
-  /// still hands out this address.
+  /// Added to EntryValidity: the time until every daemon that still hands out
+  /// this address knows that the member is Leaving.
   Duration LeaveMargin = Seconds(5);
-  /// The longest wait for running requests: above the longest deadline that a
-  /// caller may set.
+  /// The longest wait for requests in flight. Must exceed the longest deadline
+  /// that a caller may set.
   Duration DrainLimit = Seconds(30);
-  /// How many peers must confirm a configuration as the newest.
+  /// The number of peers that must confirm a configuration as the newest.
   unsigned ConfirmingPeers = 2;
 };
 
-/// What the daemon knows at a tick.
+/// What the daemon knows at the time of a tick.
 struct LifecycleFacts {
   bool ConfigInstalled = false;
-  /// The platform said that the installed generation is the newest.
+  /// The platform reported the installed generation as the newest.
   bool PlatformConfirms = false;
-  /// The platform answered at all since the start.
+  /// The platform has answered at least once since the start.
   bool PlatformAnswered = false;
   std::size_t PeersKnown = 0; ///< Live members besides this one.
-  std::size_t PeersHeard = 0; ///< Of them, those that answered.
-  /// Of them, those whose generation is not above the installed one.
+  std::size_t PeersHeard = 0; ///< Live peers that have answered.
+  /// Live peers whose generation is not higher than the installed one.
   std::size_t PeersConfirm = 0;
-  /// Some peer announced a higher generation than the installed one.
+  /// A peer announced a higher generation than the installed one.
   bool PeerIsAhead = false;
-  bool ViewSettled = false; ///< Membership::settled.
-  std::size_t InFlight = 0; ///< Requests that run here, relayed ones too.
+  bool ViewSettled = false; ///< Membership::settled().
+  std::size_t InFlight = 0; ///< Requests in flight, including relayed ones.
   std::size_t OpenConnections = 0; ///< Callers' connections.
 };
 
 struct LifecycleOutput {
   bool Changed = false;
   Phase Now = Phase::Starting;
-  /// What Membership::setSelfState is to be told.
+  /// The state to pass to Membership::setSelfState().
   MemberState Declare = MemberState::Starting;
   bool AcceptConnections = true; ///< The listening socket stays open.
-  bool TakeRequests = false;     ///< Otherwise refuse: NotReady or Leaving.
+  bool TakeRequests = false;     ///< If false, refuse: NotReady or Leaving.
   /// Answer with "Connection: close", so that callers ask for new addresses.
   bool CloseAfterReply = false;
   bool Exit = false; ///< The process may end.
-  std::string Why;   ///< For logs, readiness and the refusal.
+  std::string Why;   ///< For logs, readiness checks and refusals.
 };
 
 class Lifecycle {
@@ -74,14 +75,14 @@
   static Result<Lifecycle> make(LifecycleOptions Options, Instant Now);
 
   LifecycleOutput onTick(const LifecycleFacts &Facts, Instant Now);
-  /// A planned stop. Called a second time while Leaving, it goes on to Draining
-  /// at once: an operator who will not wait.
+  /// Starts a planned stop. A second call while Leaving skips to Draining, for
+  /// an operator who does not want to wait.
   LifecycleOutput requestStop(Instant Now);
 
   Phase phase() const { return P; }
-  /// Why the phase is what it is, for people.
+  /// The reason for the current phase, for people.
   const std::string &why() const { return Why; }
-  /// The latest time at which a stop asked for at \p Now would end.
+  /// The latest time at which a stop requested at \p Now would end.
   Instant latestEnd(Instant Now) const;
 
 private:
--- a/packages/fleet/LoadLevel.cpp
+++ b/packages/fleet/LoadLevel.cpp
@@ -8,53 +8,58 @@
 
 namespace {
 
-/// Over this time the use is averaged: a burst of two or three seconds is
-/// carried by the room that there is, and is over before more hosts would help.
-constexpr Duration SlowTime = Seconds(10);
-/// Long enough for some queries of a host that serves a few a second.
-constexpr Duration FastTime = Seconds(1);
-/// Above this use queries wait for each other, and the host asks for help.
-constexpr double UrgentUse = 0.5;
-/// What is told changes when the use is this many times higher or lower:
-/// waves in the traffic stay below it.
+/// Time constant of the slow average. A burst of two or three seconds fits into
+/// the spare capacity and would be over before more entry hosts could help.
+constexpr Duration SlowTimeConstant = Seconds(10);
+/// Long enough to cover several queries on a host that serves a few per second.
+constexpr Duration FastTimeConstant = Seconds(1);
+/// Above this utilization queries queue up, and more hosts are needed at once.
+constexpr double UrgentUtilization = 0.5;
+/// The announced load changes when the measured load is higher or lower by this
+/// factor, which is above the usual fluctuation of the traffic.
 constexpr double StepRatio = 1.3;
-/// The first seconds after a start go into opening connections and say little.
-constexpr Duration ServedFor = Seconds(5);
+/// The first seconds after a start are dominated by opening connections and say
+/// little about the load.
+constexpr Duration MinServingTime = Seconds(5);
 
-/// The weight of the newest part, \p Passed long, in an average over \p Time.
-double weight(Duration Passed, Duration Time) {
+/// Weight of a sample of length \p Passed in an exponential average over
+/// \p Time.
+double sampleWeight(Duration Passed, Duration Time) {
   return 1 - std::exp(-toMillisF(Passed) / toMillisF(Time));
 }
 
-bool differs(double A, double B) {
+bool differsByStep(double A, double B) {
   return A > B * StepRatio || B > A * StepRatio;
 }
 
 } // namespace
 
-std::uint32_t LoadLevel::observe(double BusyPart, bool Served, Instant Now) {
+std::uint32_t LoadLevel::observe(double BusyFraction, bool Served,
+                                 Instant Now) {
   if (!Served)
     return Announced;
-  if (ServedFrom == Instant::max()) {
-    ServedFrom = LastAt = Now;
+  if (ServingSince == Instant::max()) {
+    ServingSince = LastAt = Now;
     return Announced;
   }
   Duration Passed = Now - LastAt;
   LastAt = Now;
-  double Use = std::clamp(BusyPart, 0.0, 1.0);
-  Fast += (Use - Fast) * weight(Passed, FastTime);
-  // The average begins as one over what there is, not at zero.
-  Duration Seen = std::min(SlowTime, Now - ServedFrom);
-  Slow += (Use - Slow) * weight(Passed, std::max(Passed, Seen));
-  bool Urgent = Fast > UrgentUse;
-  if (Urgent)
-    Slow = std::max(Slow, Fast);
-  if (Now - ServedFrom < ServedFor && !Urgent)
+  double Utilization = std::clamp(BusyFraction, 0.0, 1.0);
+  FastAverage +=
+      (Utilization - FastAverage) * sampleWeight(Passed, FastTimeConstant);
+  // The average starts over the time seen so far rather than at zero.
+  Duration Seen = std::min(SlowTimeConstant, Now - ServingSince);
+  SlowAverage += (Utilization - SlowAverage) *
+                 sampleWeight(Passed, std::max(Passed, Seen));
+  bool IsUrgent = FastAverage > UrgentUtilization;
+  if (IsUrgent)
+    SlowAverage = std::max(SlowAverage, FastAverage);
+  if (Now - ServingSince < MinServingTime && !IsUrgent)
     return Announced;
-  auto Wanted = static_cast<std::uint32_t>(std::lround(Slow * Capacity));
-  Wanted = std::max(1U, Wanted);
-  if (differs(Wanted, Announced))
-    Announced = Wanted;
+  auto Target = static_cast<std::uint32_t>(std::lround(SlowAverage * Capacity));
+  Target = std::max(1U, Target);
+  if (differsByStep(Target, Announced))
+    Announced = Target;
   return Announced;
 }
 
--- a/packages/fleet/LoadLevel.h
+++ b/packages/fleet/LoadLevel.h
@@ -1,14 +1,15 @@
-//===- LoadLevel.h - What a daemon says of its load -------------*- C++ -*-===//
+//===- LoadLevel.h - The load that a daemon announces -----------*- C++ -*-===//
 //
-// Converts a daemon's measured use of its host into the figure that it tells
-// the fleet (Member::Load). The figure decides who carries callers, and each
-// change of it costs a piece of news to every daemon, so it follows the use
-// slowly and in steps, up and down alike: while callers move from one host to
-// another the sum over both stays right, and the set of carriers does not
-// swing.
+// Converts the measured utilization of a host to the load that its daemon
+// announces (Member::Load). Entry hosts are selected by it, and each change is
+// broadcast to every daemon, so it follows the utilization slowly and in
+// steps. It rises and falls at the same speed: while callers move from one host
+// to another the sum over both stays right, and the set of entry hosts does not
+// oscillate.
 //
-// A host that is more than half used says so at once. Its callers wait already,
-// and others must help within seconds.
+// A host whose utilization exceeds one half announces it without this delay:
+// its callers are already queueing, and other hosts have to help within
+// seconds.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_LOADLEVEL_H
@@ -20,20 +21,20 @@
 
 class LoadLevel {
 public:
-  /// \p Capacity: what the host gives, in thousandths of a core.
+  /// \p Capacity: CPU capacity of the host in millicores.
   explicit LoadLevel(std::uint32_t Capacity) : Capacity(Capacity) {}
 
-  /// The part of the time since the last call in which the process was busy,
-  /// and whether callers have been served at all. To be called once a second
-  /// or more often. Answers what the others should be told; 0 until callers
-  /// were served for a while.
-  std::uint32_t observe(double BusyPart, bool Served, Instant Now);
+  /// Takes the fraction of the time since the last call in which the process
+  /// was busy, and whether it has served any callers. Call at least once a
+  /// second. Returns the load to announce in millicores; 0 until callers have
+  /// been served for a few seconds.
+  std::uint32_t observe(double BusyFraction, bool Served, Instant Now);
 
 private:
   std::uint32_t Capacity;
-  double Slow = 0; ///< Part of the time, over SlowTime.
-  double Fast = 0; ///< The same over FastTime.
-  Instant ServedFrom = Instant::max();
+  double SlowAverage = 0; ///< Utilization averaged over SlowTimeConstant.
+  double FastAverage = 0; ///< Utilization averaged over FastTimeConstant.
+  Instant ServingSince = Instant::max();
   Instant LastAt{};
   std::uint32_t Announced = 0;
 };
--- a/packages/fleet/MemberTable.cpp
+++ b/packages/fleet/MemberTable.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-MemberState shownState(const MemberRecord &R) {
+MemberState visibleState(const MemberRecord &R) {
   MemberState Declared = R.Fact.Who.State;
   if (Declared == MemberState::Left)
     return MemberState::Left;
@@ -37,13 +37,14 @@
     return MemberState::Failed;
   if (Declared == MemberState::Leaving || R.ListedLeaving)
     return MemberState::Leaving;
-  if (Declared == MemberState::Alive && R.Fact.ObservedHealth == Health::Suspect)
+  if (Declared == MemberState::Alive &&
+      R.Fact.ObservedHealth == Health::Suspect)
     return MemberState::Suspect;
   return Declared;
 }
 
 bool isLive(const MemberRecord &R) {
-  MemberState S = shownState(R);
+  MemberState S = visibleState(R);
   return S != MemberState::Failed && S != MemberState::Left;
 }
 
@@ -64,7 +65,7 @@
   const MemberRecord *R = find(Host);
   if (!R)
     return {};
-  return {true, R->Fact.Who.Id.Incarnation, R->Fact.Who.State, shownState(*R),
+  return {true, R->Fact.Who.Id.Incarnation, R->Fact.Who.State, visibleState(*R),
           R->Fact.ObservedHealth};
 }
 
@@ -74,40 +75,41 @@
     return insert(U, Now);
   MemberRecord &R = It->second;
   if (isOlder(U, R.Fact))
-    return MergeResult::Nothing;
+    return MergeResult::Ignored;
   DaemonId OldId = R.Fact.Who.Id;
   if (isOlder(R.Fact, U)) {
-    MergeResult Merged = takeNewer(R, U, Now);
+    MergeResult Merged = applyNewer(R, U, Now);
     commit(R, OldId, Now);
     return Merged;
   }
   if (U.ObservedHealth == Health::Trusted)
-    return MergeResult::Nothing;
-  MergeResult Merged = accuse(R, U, Now);
-  if (Merged == MergeResult::News)
+    return MergeResult::Ignored;
+  MergeResult Merged = addAccusation(R, U, Now);
+  if (Merged == MergeResult::Updated)
     commit(R, OldId, Now);
   return Merged;
 }
 
 MergeResult MemberTable::insert(const MemberUpdate &U, Instant Now) {
-  // A tombstone is never learned from others. Otherwise two daemons whose
-  // tombstones run out at different times would hand it to each other for ever.
+  // Tombstones are never learned from others. Otherwise two daemons whose
+  // tombstones expire at different times would restore them from each other
+  // forever.
   if (U.ObservedHealth == Health::Failed || U.Who.State == MemberState::Left)
-    return MergeResult::Nothing;
+    return MergeResult::Ignored;
   if (Records.size() >= MaxMembers)
-    return MergeResult::Full;
+    return MergeResult::AtCapacity;
   MemberRecord &R = Records[U.Who.Id.Host];
   R.Fact = U;
   R.HeardAt = Now;
   clearSuspicion(R);
   if (U.ObservedHealth == Health::Suspect)
-    accuse(R, U, Now);
+    addAccusation(R, U, Now);
   commit(R, U.Who.Id, Now);
-  return MergeResult::News;
+  return MergeResult::Updated;
 }
 
-MergeResult MemberTable::takeNewer(MemberRecord &R, const MemberUpdate &U,
-                                   Instant Now) {
+MergeResult MemberTable::applyNewer(MemberRecord &R, const MemberUpdate &U,
+                                    Instant Now) {
   bool WasFailed = R.Fact.ObservedHealth == Health::Failed;
   bool NewRun = R.Fact.Who.Id != U.Who.Id;
   bool BecameAlive =
@@ -120,25 +122,29 @@
   if (BecameAlive)
     R.AliveSince = Now;
   if (WasFailed && U.ObservedHealth == Health::Failed)
-    return MergeResult::News;
+    return MergeResult::Updated;
   clearSuspicion(R);
   if (U.ObservedHealth == Health::Suspect)
-    accuse(R, U, Now);
-  return U.ObservedHealth == Health::Failed ? MergeResult::Doubt : MergeResult::News;
+    addAccusation(R, U, Now);
+  return U.ObservedHealth == Health::Failed ? MergeResult::NeedsProbe
+                                            : MergeResult::Updated;
 }
 
-/// A member that we trust is never Failed nor suspected because another daemon
-/// holds it for Failed, only asked. When regions meet again, each side holds
-/// the whole other side for Failed; taking that word, or passing it on as a
-/// suspicion, would put everybody under suspicion at once, and the refutations
-/// would be late in the crowd. The accused itself is told by those that hold it
-/// for Failed (tickTombstones), and refutes.
-MergeResult MemberTable::accuse(MemberRecord &R, const MemberUpdate &U,
-                                Instant Now) {
-  if (R.Fact.ObservedHealth == Health::Failed || R.Fact.Who.State == MemberState::Left)
-    return MergeResult::Nothing;
-  if (R.Fact.ObservedHealth == Health::Trusted && U.ObservedHealth == Health::Failed)
-    return MergeResult::Doubt;
+/// A trusted member is never marked Failed or Suspect because another daemon
+/// considers it Failed; it is only probed. When regions merge after a
+/// partition, each side considers the whole other side Failed. Accepting that,
+/// or spreading it as a suspicion, would make all members suspects at once, and
+/// their refutations would be delayed by the volume of updates. The daemons
+/// that consider it Failed inform the accused itself (tickTombstones), which
+/// refutes.
+MergeResult MemberTable::addAccusation(MemberRecord &R, const MemberUpdate &U,
+                                       Instant Now) {
+  if (R.Fact.ObservedHealth == Health::Failed ||
+      R.Fact.Who.State == MemberState::Left)
+    return MergeResult::Ignored;
+  if (R.Fact.ObservedHealth == Health::Trusted &&
+      U.ObservedHealth == Health::Failed)
+    return MergeResult::NeedsProbe;
   if (R.Fact.ObservedHealth == Health::Trusted) {
     R.SuspectedAt = Now;
     R.Probed = false;
@@ -146,11 +152,11 @@
   const HostId &Accuser = U.Accuser;
   bool Heard = std::ranges::find(R.Accusers, Accuser) != R.Accusers.end();
   if (Heard || R.Accusers.size() >= MaxAccusers)
-    return MergeResult::Nothing;
+    return MergeResult::Ignored;
   R.Accusers.push_back(Accuser);
   R.Fact.ObservedHealth = Health::Suspect;
   R.Fact.Accuser = Accuser;
-  return MergeResult::News;
+  return MergeResult::Updated;
 }
 
 void MemberTable::setSelf(const MemberUpdate &Self, Instant Now) {
@@ -165,7 +171,7 @@
 void MemberTable::showSelfFailed(const HostId &Self, bool Failed) {
   SelfShownFailed = Failed ? std::optional(Self) : std::nullopt;
   const MemberRecord &R = Records.at(Self);
-  show(R, R.Fact.Who.Id);
+  updateView(R, R.Fact.Who.Id);
 }
 
 void MemberTable::setListedLeaving(const HostId &Host, bool Leaving) {
@@ -173,16 +179,16 @@
   if (It == Records.end() || It->second.ListedLeaving == Leaving)
     return;
   It->second.ListedLeaving = Leaving;
-  show(It->second, It->second.Fact.Who.Id);
+  updateView(It->second, It->second.Fact.Who.Id);
 }
 
-void MemberTable::heard(const GossipMessage &M, Instant Now) {
+void MemberTable::recordHeard(const GossipMessage &M, Instant Now) {
   auto It = Records.find(M.Sender.Who.Id.Host);
   if (It == Records.end() || It->second.Fact.Who.Id != M.Sender.Who.Id)
     return;
   MemberRecord &R = It->second;
   R.HeardAt = Now;
-  // Datagrams overtake each other; a generation never goes back.
+  // Datagrams may be reordered; the generation of a member never decreases.
   if (M.ConfigGeneration < R.ConfigGeneration)
     return;
   R.ConfigGeneration = M.ConfigGeneration;
@@ -206,8 +212,8 @@
 void MemberTable::forget(const HostId &Host) {
   auto It = Records.find(Host);
   DaemonId Id = It->second.Fact.Who.Id;
-  auto Shown = std::ranges::lower_bound(View.Members, Id, {}, &Member::Id);
-  View.Members.erase(Shown);
+  auto Visible = std::ranges::lower_bound(View.Members, Id, {}, &Member::Id);
+  View.Members.erase(Visible);
   ++View.Number;
   Dead.erase(Host);
   Records.erase(It);
@@ -227,11 +233,11 @@
     R.ConfigGeneration = R.ConfigHead = 0;
   R.Revisions = {};
   addToDigest(R);
-  show(R, OldId);
+  updateView(R, OldId);
 }
 
-/// Tombstones and suspicions are left out: daemons lose the ones and gain the
-/// others at different times, and would find differences at every comparison.
+/// Tombstones and suspicions are excluded: they expire and arrive at different
+/// times on different daemons, so every comparison would find differences.
 void MemberTable::addToDigest(MemberRecord &R) {
   std::uint32_t &Bucket = Digest[bucketOf(R.Fact.Who.Id.Host)];
   Bucket ^= R.Digest;
@@ -239,10 +245,10 @@
   Bucket ^= R.Digest;
 }
 
-void MemberTable::show(const MemberRecord &R, const DaemonId &OldId) {
+void MemberTable::updateView(const MemberRecord &R, const DaemonId &OldId) {
   Member Now = R.Fact.Who;
   Now.State =
-      SelfShownFailed == Now.Id.Host ? MemberState::Failed : shownState(R);
+      SelfShownFailed == Now.Id.Host ? MemberState::Failed : visibleState(R);
   auto Old = std::lower_bound(View.Members.begin(), View.Members.end(), OldId,
                               idBefore);
   bool Found = Old != View.Members.end() && Old->Id == OldId;
--- a/packages/fleet/MemberTable.h
+++ b/packages/fleet/MemberTable.h
@@ -1,9 +1,9 @@
-//===- MemberTable.h - Facts about members ----------------------*- C++ -*-===//
+//===- MemberTable.h - Table of members -------------------------*- C++ -*-===//
 //
-// Inside of package fleet: what a daemon holds of every member, the rules by
-// which a newer fact replaces an older one, and the picture and digests made
-// of them. Merging is independent of order and repetition, but for suspicion,
-// which every daemon times for itself.
+// Internal to package fleet: the records that a daemon keeps of all members,
+// the rules by which an update replaces an older one, and the view and digests
+// derived from them. Merging is commutative and idempotent except for
+// suspicions, which every daemon times itself.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_MEMBERTABLE_H
@@ -20,46 +20,46 @@
 
 namespace shallot::internal {
 
-/// The most accusers counted for one suspect; more would not shorten the wait.
+/// The most accusers counted per suspect; more do not shorten the timeout.
 inline constexpr std::size_t MaxAccusers = 4;
 
 struct MemberRecord {
   MemberUpdate Fact;
-  /// The host list says "leaving" of this run.
+  /// The host list marks this incarnation as leaving.
   bool ListedLeaving = false;
   std::vector<HostId> Accusers; ///< Empty unless Suspect.
   Instant SuspectedAt;
-  bool Probed = false; ///< We probed this suspect ourselves.
+  bool Probed = false; ///< This daemon has probed the suspect itself.
   Instant DeadSince;   ///< When it became Failed or Left.
-  /// When it became Alive before our eyes; nothing if it was found so.
+  /// When this daemon saw it become Alive; empty if it was found Alive.
   std::optional<Instant> AliveSince;
-  Instant HeardAt; ///< Its own last message to this daemon.
+  Instant HeardAt; ///< When its last message reached this daemon.
   std::uint64_t ConfigGeneration = 0;
   std::uint64_t ConfigHead = 0;
   StoreRevisions Revisions;
-  std::uint32_t Digest = 0; ///< Its share in its bucket's digest.
+  std::uint32_t Digest = 0; ///< Its contribution to its bucket's digest.
 };
 
-/// What everybody sees of a record.
-MemberState shownState(const MemberRecord &R);
+/// The state of a member as shown in the view.
+MemberState visibleState(const MemberRecord &R);
 
-/// True for a member that may answer: neither Failed nor Left.
+/// Returns true unless the member is Failed or Left.
 bool isLive(const MemberRecord &R);
 
-/// A record before a change, so that the change can be told.
+/// A summary of a record before a change, to derive events from.
 struct RecordBefore {
   bool Known = false;
   std::uint64_t Incarnation = 0;
   MemberState Declared = MemberState::Starting;
-  MemberState Shown = MemberState::Starting;
+  MemberState Visible = MemberState::Starting;
   Health ObservedHealth = Health::Trusted;
 };
 
 enum class MergeResult : std::uint8_t {
-  Nothing, ///< Old news.
-  News,    ///< Worth passing on.
-  Doubt,   ///< Somebody holds a member that we trust for Failed: ask it.
-  Full,    ///< An unknown member was ignored.
+  Ignored,    ///< Not newer than the record.
+  Updated,    ///< Changed the record; broadcast it.
+  NeedsProbe, ///< Another daemon considers a member that we trust Failed.
+  AtCapacity, ///< An unknown member was ignored.
 };
 
 using Digests = std::array<std::uint32_t, GossipBuckets>;
@@ -73,34 +73,35 @@
   const std::map<HostId, MemberRecord> &records() const { return Records; }
   const std::set<HostId> &suspects() const { return Suspects; }
   const std::set<HostId> &tombstones() const { return Dead; }
-  /// Live members, this daemon included.
+  /// Number of live members, including this daemon.
   std::size_t live() const { return Records.size() - Dead.size(); }
 
   const MemberRecord *find(const HostId &Host) const;
   RecordBefore before(const HostId &Host) const;
 
-  /// Takes in a fact about another member.
+  /// Merges an update about another member.
   MergeResult merge(const MemberUpdate &U, Instant Now);
-  /// Replaces what this daemon says of itself.
+  /// Replaces the update about this daemon.
   void setSelf(const MemberUpdate &Self, Instant Now);
-  /// Shows this daemon as Failed in its own picture, or no longer.
+  /// Sets whether the view shows this daemon as Failed.
   void showSelfFailed(const HostId &Self, bool Failed);
   void setListedLeaving(const HostId &Host, bool Leaving);
-  void heard(const GossipMessage &M, Instant Now);
+  void recordHeard(const GossipMessage &M, Instant Now);
   void setProbed(const HostId &Host) { Records.at(Host).Probed = true; }
-  /// A suspect that did not refute in time.
+  /// Marks a suspect that did not refute in time as Failed.
   void setFailed(const HostId &Host, const HostId &Accuser, Instant Now);
-  /// Moves the start of every suspicion by a time that we did not live.
+  /// Delays all suspicion timeouts by the length of a pause.
   void delaySuspicions(Duration By);
   void forget(const HostId &Host);
 
 private:
   MergeResult insert(const MemberUpdate &U, Instant Now);
-  MergeResult takeNewer(MemberRecord &R, const MemberUpdate &U, Instant Now);
-  MergeResult accuse(MemberRecord &R, const MemberUpdate &U, Instant Now);
-  /// Brings picture, digests and sets in line with a changed record.
+  MergeResult applyNewer(MemberRecord &R, const MemberUpdate &U, Instant Now);
+  MergeResult addAccusation(MemberRecord &R, const MemberUpdate &U,
+                            Instant Now);
+  /// Updates view, digests and indices after a change of \p R.
   void commit(MemberRecord &R, const DaemonId &OldId, Instant Now);
-  void show(const MemberRecord &R, const DaemonId &OldId);
+  void updateView(const MemberRecord &R, const DaemonId &OldId);
   void addToDigest(MemberRecord &R);
 
   std::map<HostId, MemberRecord> Records;
@@ -111,7 +112,7 @@
   FleetView View;
 };
 
-/// The part of the table that \p Host belongs to.
+/// The bucket of the table that \p Host belongs to.
 std::size_t bucketOf(const HostId &Host);
 
 } // namespace shallot::internal
--- a/packages/fleet/Membership.cpp
+++ b/packages/fleet/Membership.cpp
@@ -9,9 +9,10 @@
 namespace shallot {
 namespace {
 
-/// Members told at once of a new state.
+/// Members notified at once of a new state.
 constexpr std::size_t NotifiedPeers = 4;
-/// A daemon that goes cannot tell any later, so it tells more.
+/// A daemon that stops cannot notify more members later, so it notifies more
+/// at once.
 constexpr std::size_t NotifiedPeersAtEnd = 8;
 
 constexpr auto EventNames = std::to_array<std::string_view>(
@@ -23,13 +24,13 @@
 Result<void> checkOptions(const MembershipOptions &O) {
   if (O.MinPeriod < TickPeriod || O.MaxPeriod < O.MinPeriod)
     return fail(ResultCode::SettingsInvalid,
-                fmt::format("membership: probe period {} to {} ms is not a "
-                            "range above {} ms",
+                fmt::format("membership: probe period {} to {} ms must be an "
+                            "ascending range of at least {} ms",
                             toMillis(O.MinPeriod), toMillis(O.MaxPeriod),
                             toMillis(TickPeriod)));
   if (O.PauseThreshold < 5 * TickPeriod)
     return fail(ResultCode::SettingsInvalid,
-                fmt::format("membership: pause threshold {} ms is under five "
+                fmt::format("membership: pause threshold {} ms is below five "
                             "ticks",
                             toMillis(O.PauseThreshold)));
   return {};
@@ -89,7 +90,7 @@
 
 MembershipOutput Membership::onTick(Instant Now) {
   std::uint64_t Before = I->Table.view().Number;
-  I->liveThrough(Now);
+  I->detectPause(Now);
   if (I->Self.Who.State != MemberState::Left)
     I->tick(Now);
   return I->take(Before);
@@ -97,9 +98,9 @@
 
 MembershipOutput Membership::onMessage(const GossipMessage &M, Instant Now) {
   std::uint64_t Before = I->Table.view().Number;
-  I->liveThrough(Now);
-  bool Sound = static_cast<bool>(attempt([&] { return checkMessage(M); }));
-  if (Sound && I->Self.Who.State != MemberState::Left)
+  I->detectPause(Now);
+  bool Valid = static_cast<bool>(attempt([&] { return checkMessage(M); }));
+  if (Valid && I->Self.Who.State != MemberState::Left)
     I->receive(M, Now);
   return I->take(Before);
 }
@@ -107,17 +108,17 @@
 MembershipOutput Membership::onHostList(const std::vector<ListedHost> &Hosts,
                                         Instant Now) {
   std::uint64_t Before = I->Table.view().Number;
-  I->liveThrough(Now);
-  I->takeHostList(Hosts);
+  I->detectPause(Now);
+  I->applyHostList(Hosts);
   return I->take(Before);
 }
 
 MembershipOutput Membership::setSelfState(MemberState State, Instant Now) {
   std::uint64_t Before = I->Table.view().Number;
-  I->liveThrough(Now);
+  I->detectPause(Now);
   MemberState Was = I->Self.Who.State;
   if (Was != State && Was != MemberState::Left) {
-    I->saySelf(State, I->Self.Version + 1, Now);
+    I->updateSelf(State, I->Self.Version + 1, Now);
     I->notify(State == MemberState::Left ? NotifiedPeersAtEnd : NotifiedPeers);
   }
   return I->take(Before);
@@ -125,10 +126,10 @@
 
 MembershipOutput Membership::setSelfLoad(std::uint32_t Load, Instant Now) {
   std::uint64_t Before = I->Table.view().Number;
-  I->liveThrough(Now);
+  I->detectPause(Now);
   if (I->Self.Who.Load != Load && I->Self.Who.State != MemberState::Left) {
     I->Self.Who.Load = Load;
-    I->saySelf(I->Self.Who.State, I->Self.Version + 1, Now);
+    I->updateSelf(I->Self.Who.State, I->Self.Version + 1, Now);
   }
   return I->take(Before);
 }
@@ -136,7 +137,7 @@
 MembershipOutput Membership::announce(const std::vector<DaemonId> &Peers,
                                       Instant Now) {
   std::uint64_t Before = I->Table.view().Number;
-  I->liveThrough(Now);
+  I->detectPause(Now);
   for (const DaemonId &Peer : Peers)
     if (const internal::MemberRecord *R = I->Table.find(Peer.Host))
       I->send(R->Fact.Who.Gossip, Peer, I->message(GossipKind::Notice, 0));
@@ -154,12 +155,16 @@
 
 const FleetView &Membership::view() const { return I->Table.view(); }
 const Member &Membership::self() const { return I->Self.Who; }
-bool Membership::mayAct(Instant Now) const { return I->refusalReason(Now).empty(); }
-std::string Membership::refusalReason(Instant Now) const { return I->refusalReason(Now); }
+bool Membership::mayAct(Instant Now) const {
+  return I->refusalReason(Now).empty();
+}
+std::string Membership::refusalReason(Instant Now) const {
+  return I->refusalReason(Now);
+}
 bool Membership::settled(Instant Now) const { return I->settled(Now); }
 std::size_t Membership::peersHeard() const { return I->peersHeard(); }
 std::size_t Membership::peersKnown() const { return I->peersKnown(); }
-unsigned Membership::localHealth() const { return I->Slowness; }
+unsigned Membership::localHealth() const { return I->HealthScore; }
 
 std::vector<PeerConfig> Membership::peerConfigs() const {
   std::vector<PeerConfig> Configs;
@@ -171,7 +176,7 @@
 }
 
 double Membership::warmUpFraction(const DaemonId &Who, Duration WarmUp,
-                          Instant Now) const {
+                                  Instant Now) const {
   const internal::MemberRecord *R = I->Table.find(Who.Host);
   if (!R || !R->AliveSince || WarmUp <= Duration(0))
     return 1;
@@ -180,13 +185,14 @@
 }
 
 std::size_t Membership::memoryBytes() const {
-  constexpr std::size_t TreeNodeBytes = 48; // Links, colour and allocation.
+  constexpr std::size_t TreeNodeBytes = 48; // Links, colour and allocator.
   std::size_t Record =
       sizeof(internal::MemberRecord) + sizeof(HostId) + TreeNodeBytes;
-  std::size_t NewsEntry = 2 * (2 * sizeof(HostId) + TreeNodeBytes);
+  std::size_t BroadcastEntry = 2 * (2 * sizeof(HostId) + TreeNodeBytes);
   return sizeof(Impl) + I->Table.records().size() * Record +
          I->Table.view().Members.capacity() * sizeof(Member) +
-         I->Order.capacity() * sizeof(HostId) + I->News.size() * NewsEntry +
+         I->Order.capacity() * sizeof(HostId) +
+         I->Broadcasts.size() * BroadcastEntry +
          I->Listed.capacity() * sizeof(ListedHost);
 }
 
--- a/packages/fleet/Membership.h
+++ b/packages/fleet/Membership.h
@@ -1,26 +1,26 @@
-//===- Membership.h - Who is in the fleet -----------------------*- C++ -*-===//
+//===- Membership.h - Group membership and failure detection ----*- C++ -*-===//
 //
-// Failure detection and spreading of news after SWIM (Das, Gupta, Motivala
-// 2002) with the local health of Lifeguard (Dadgar, Phillips, Currey 2018), as
-// a state machine without input, output, clock or threads:
+// Failure detection and dissemination after SWIM (Das, Gupta, Motivala 2002)
+// with local health awareness after Lifeguard (Dadgar, Phillips, Currey 2018),
+// as a state machine without I/O, clock or threads:
 //
-//   - each period one member is probed; if it does not answer, three others
-//     probe it for us; if none gets an answer it is suspected;
-//   - a suspect that does not refute within a time that grows with the
-//     logarithm of the fleet is Failed. Nobody is Failed on hearsay: every
-//     daemon gives every suspect its own full time;
-//   - a daemon that is slow or was paused accuses more slowly;
-//   - now and then the whole table is compared by digests with one member, so
-//     that news that got lost is found;
-//   - Failed members are kept for a while and probed at a bounded rate, so
-//     that regions that lost each other meet again without a storm.
+//   - Each period one member is probed. If it does not answer, three other
+//     members probe it indirectly. If none gets an answer it is suspected.
+//   - A suspect that does not refute within a timeout, which grows with the
+//     logarithm of the fleet size, is Failed. A daemon never marks a member
+//     Failed because another daemon did: each one runs the full timeout itself.
+//   - A daemon that is slow or was paused accuses other members more slowly.
+//   - From time to time the whole table is compared with one member by digests,
+//     which repairs lost updates (anti-entropy).
+//   - Failed members are kept as tombstones and probed at a bounded rate, so
+//     that regions merge after a partition without a burst of messages.
 //
-// Each daemon sends a bounded number of messages a second at any fleet size.
-// The platform's host list is a source of seeds and of the word "leaving"; it
-// lags, so it never makes a member Failed.
+// The number of messages that each daemon sends per second is bounded at any
+// fleet size. The platform's host list provides seeds and marks members as
+// leaving. It lags, so it never makes a member Failed.
 //
-// How to drive it: call onTick every TickPeriod, onMessage for each datagram,
-// and send what comes back.
+// The driver calls onTick() every TickPeriod and onMessage() for each datagram,
+// and sends the messages that they return.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_MEMBERSHIP_H
@@ -37,47 +37,47 @@
 
 namespace shallot {
 
-/// How often onTick wants to be called.
+/// The period at which onTick() should be called.
 inline constexpr Duration TickPeriod = Millis(100);
 
-/// The most members that a daemon keeps; further ones are ignored and counted
-/// by an event. Twice the target of 1,700 with its tombstones.
+/// The most members that a daemon keeps; further ones are ignored and reported
+/// by an event. Twice the target of 1,700 members, with their tombstones.
 inline constexpr std::size_t MaxMembers = 4096;
 
 struct MembershipOptions {
-  /// One probe in each period, drawn anew from this range so that daemons
-  /// started together do not probe in step.
+  /// One member is probed per period. The period is drawn at random from this
+  /// range, so that daemons started together do not probe in lockstep.
   Duration MinPeriod = Millis(500);
   Duration MaxPeriod = Millis(1000);
-  /// Bounds of the wait for an answer before others are asked to probe; in
-  /// between it follows the round trips seen.
+  /// Bounds of the wait for a direct answer before indirect probes are sent.
+  /// Between them it follows the measured round-trip time.
   Duration MinProbeTimeout = Millis(100);
   Duration MaxProbeTimeout = Millis(400);
   unsigned IndirectProbes = 3;
-  /// A member of another region is probed in one round of so many; its own
-  /// region probes it in each. Regions of a few members are probed by all.
+  /// A member of another region is probed in one of this many rounds; its own
+  /// region probes it in every round. Small regions are probed by all members.
   unsigned CrossRegionProbeRounds = 1;
-  /// Time to refute = SuspicionPeriods x log10(members, at least 10) x mean
-  /// period when several accuse, twice as long when one does.
+  /// Suspicion timeout = SuspicionPeriods x log10(members, at least 10) x mean
+  /// period when several members accuse, twice as long when only one does.
   double SuspicionPeriods = 3;
-  /// A longer time between ticks means that this process did not run.
+  /// A longer time between ticks means that this process was suspended.
   Duration PauseThreshold = Millis(1500);
-  /// How long Failed and Left members are remembered: longer than regions
-  /// lose each other.
+  /// How long Failed and Left members are kept. Must exceed the longest
+  /// expected partition between regions.
   Duration TombstoneTime = std::chrono::hours(2);
-  /// How often one Failed member, and one seed that is no member, is probed.
+  /// Period of probes to one Failed member, or to one seed that is no member.
   Duration TombstoneProbePeriod = Seconds(2);
-  /// How often the table is compared with one member when nothing differs.
+  /// Period of table comparisons while the tables are equal.
   Duration SyncPeriod = Seconds(10);
-  /// Datagrams of members sent in answer to comparisons: what runs over a long
-  /// time, and what a start may take at once. With a burst of 12, 295 daemons
-  /// that start together know each other after 12 s and 191 KB sent by each;
-  /// with 250, and ReplyBurst for the seeds, after 3.3 s and 152 KB (virtual
-  /// time). 250 of 1,200 bytes are an eighth of a second of a link of 20
-  /// Mbit/s.
+  /// Sustained rate and burst of datagrams with member updates that are sent in
+  /// answer to table comparisons. 295 daemons that start together know each
+  /// other after 12 s and 191 KB sent by each with a burst of 12, and after
+  /// 3.3 s and 152 KB with a burst of 250 and ReplyBurst for the seeds
+  /// (simulated time). 250 datagrams of 1,200 bytes take an eighth of a second
+  /// on a link of 20 Mbit/s.
   double SyncDatagramsPerSecond = 4;
   double SyncBurst = 250;
-  /// A view is settled when nobody new was found for this long.
+  /// The view is settled when no new member was found for this long.
   Duration SettleTime = Seconds(2);
 };
 
@@ -92,38 +92,38 @@
 };
 
 enum class MembershipEventKind : std::uint8_t {
-  Joined,     ///< Not known before.
-  Restarted,  ///< The same host with a new incarnation.
-  Suspected,  ///< No answer; it may refute.
-  Refuted,    ///< A suspect answered.
+  Joined,     ///< A new member was found.
+  Restarted,  ///< A known host has a new incarnation.
+  Suspected,  ///< It did not answer; it may refute.
+  Refuted,    ///< A suspect refuted the suspicion.
   Failed,     ///< A suspect did not refute in time.
-  Recovered,  ///< A Failed member is back in the same run.
-  Ready,      ///< It says that it is Alive.
-  Leaving,    ///< It says, or the host list says, that it is leaving.
-  Left,       ///< It stopped as planned.
-  Forgotten,  ///< A tombstone ran out.
-  Accused,    ///< Others accused this daemon; it refuted.
-  Paused,     ///< This process did not run for a while and may be out of date.
+  Recovered,  ///< A Failed member is back with the same incarnation.
+  Ready,      ///< It announced that it is Alive.
+  Leaving,    ///< It or the host list announced that it is leaving.
+  Left,       ///< It completed a planned stop.
+  Forgotten,  ///< Its tombstone expired.
+  Accused,    ///< Others accused this daemon, which refuted.
+  Paused,     ///< This process was suspended and may be out of date.
   CaughtUp,   ///< Enough peers answered after a pause.
-  Superseded, ///< A later run of this same host is in the fleet.
-  TableFull,  ///< A member was ignored (MaxMembers).
+  Superseded, ///< The fleet has a later incarnation of this host.
+  TableFull,  ///< A member was ignored because of MaxMembers.
 };
 
-/// The event's name in logs, such as "member_failed".
+/// Returns the name of the event in logs, such as "member_failed".
 std::string_view eventName(MembershipEventKind Kind);
 
-/// True for events that an operator should look at; the others are the usual
-/// coming and going.
+/// Returns true for events that an operator should look at, false for those of
+/// normal operation.
 bool isWarning(MembershipEventKind Kind);
 
-/// The state's name for people and in JSON, such as "leaving".
+/// Returns the name of the state in JSON and for people, such as "leaving".
 std::string_view stateName(MemberState S);
 
-/// Something the fleet decided, and on what evidence.
+/// A change of membership and the evidence for it.
 struct MembershipEvent {
   MembershipEventKind Kind = MembershipEventKind::Joined;
   DaemonId Who;
-  HostId By;            ///< Whose word it was; empty for one's own.
+  HostId By;            ///< The member that reported it; empty if local.
   std::string Evidence; ///< For people: "no answer to 3 helpers in 412 ms".
 
   friend bool operator==(const MembershipEvent &,
@@ -138,10 +138,10 @@
 struct MembershipOutput {
   std::vector<GossipSend> Sends;
   std::vector<MembershipEvent> Events;
-  bool Changed = false; ///< view() has a new number.
+  bool Changed = false; ///< The number of view() has changed.
 };
 
-/// What a peer last said of its configuration.
+/// The configuration that a peer last announced.
 struct PeerConfig {
   DaemonId Who;
   std::uint64_t Generation = 0;
@@ -152,9 +152,9 @@
 
 class Membership {
 public:
-  /// Starts alone, knowing only \p Self (in state Starting or Alive) and the
-  /// gossip endpoints of \p Seeds. Draws its own seed from \p Rng. Fails with
-  /// SettingsInvalid when an option is out of its range.
+  /// Starts with only \p Self (Starting or Alive) as a member and the gossip
+  /// endpoints \p Seeds. Seeds its own generator from \p Rng. Fails with
+  /// SettingsInvalid when an option is out of range.
   static Result<Membership> make(const MembershipOptions &Options, Member Self,
                                  std::vector<Endpoint> Seeds, Random &Rng,
                                  Instant Now);
@@ -163,53 +163,55 @@
   Membership &operator=(Membership &&) noexcept;
 
   MembershipOutput onTick(Instant Now);
-  /// A datagram that failed checkMessage() is dropped.
+  /// Messages that fail checkMessage() are dropped.
   MembershipOutput onMessage(const GossipMessage &M, Instant Now);
-  /// Replaces what was known of the platform's host list.
+  /// Replaces the previous host list of the platform.
   MembershipOutput onHostList(const std::vector<ListedHost> &Hosts,
                               Instant Now);
-  /// Says that this daemon is now Starting, Alive, Leaving or Left and tells
-  /// a few members at once. Going back from Left is refused by doing nothing.
+  /// Sets the state of this daemon (Starting, Alive, Leaving or Left) and
+  /// notifies a few members at once. Has no effect once the state is Left.
   MembershipOutput setSelfState(MemberState State, Instant Now);
-  /// Says what serving callers takes of this host (Member::Load). It travels
-  /// with the other news, within a second or two, and costs no message more.
+  /// Sets the announced load of this host (Member::Load). It is piggybacked on
+  /// other messages within a second or two and needs none of its own.
   MembershipOutput setSelfLoad(std::uint32_t Load, Instant Now);
-  /// Sends what this daemon says of itself, its configuration and its newest
-  /// news to these members at once; unknown ones are left out.
+  /// Sends the state and configuration of this daemon and recent updates to
+  /// \p Peers at once. Unknown peers are skipped.
   MembershipOutput announce(const std::vector<DaemonId> &Peers, Instant Now);
-  /// The configuration that later messages announce.
+  /// Sets the configuration that later messages announce.
   void setConfig(std::uint64_t Generation, std::uint64_t Head);
-  /// How far later messages say that this daemon has read the store.
+  /// Sets the store revisions that later messages announce as read.
   void setRevisions(const StoreRevisions &Read);
 
-  /// The picture: this daemon and every member known, tombstones included.
+  /// The current view: this daemon and every known member, with tombstones.
   const FleetView &view() const;
   const Member &self() const;
-  /// False while this daemon was paused and has not yet heard anew from two
-  /// peers (or from all), and for good once a later run of its host is known.
-  /// To be checked before every act that others rely on: it compares \p Now
-  /// with the last tick, so it is right even before the first tick after a
-  /// pause.
+  /// Returns false after a pause until two peers (or all, if there are fewer)
+  /// have answered again, and forever once a later incarnation of this host is
+  /// known. Check it before every action that others rely on. It compares
+  /// \p Now with the last tick, so it is correct even before the first tick
+  /// after a pause.
   bool mayAct(Instant Now) const;
-  /// Why mayAct() is false, for the refusal; empty when it is true.
+  /// The reason why mayAct() is false; empty when it is true.
   std::string refusalReason(Instant Now) const;
-  /// True when the view is fit to decide from after a start: a peer's table
-  /// equals ours, or every seed was tried and none answered, and nobody new
-  /// was found for SettleTime.
+  /// Returns true when the view can be relied on after a start: either the
+  /// table of a peer equals ours or no seed has answered, and no new member was
+  /// found for SettleTime.
   bool settled(Instant Now) const;
-  /// Members that answered this daemon since it started (or woke).
+  /// Live members that have answered since the start or the last pause.
   std::size_t peersHeard() const;
   /// Live members other than this daemon.
   std::size_t peersKnown() const;
-  /// What live members said of their configuration, by member.
+  /// The configurations that live members last announced.
   std::vector<PeerConfig> peerConfigs() const;
-  /// 0 when healthy; up to MaxLocalHealth when this daemon is slow itself and
-  /// so accuses more slowly.
+  /// 0 when healthy, at most 8. Higher values mean that this daemon is slow and
+  /// should accuse others more slowly.
   unsigned localHealth() const;
-  /// Share of full entry weight from 0 to 1: grows over \p WarmUp since the
-  /// member became Alive as seen here; 1 for members found already Alive.
-  double warmUpFraction(const DaemonId &Who, Duration WarmUp, Instant Now) const;
-  /// Bytes held, estimated.
+  /// Returns the entry weight of a member from 0 to 1. It grows over \p WarmUp
+  /// after this daemon saw the member become Alive, and is 1 for members that
+  /// were Alive when first seen.
+  double warmUpFraction(const DaemonId &Who, Duration WarmUp,
+                        Instant Now) const;
+  /// Estimate of the memory in use.
   std::size_t memoryBytes() const;
 
 private:
--- a/packages/fleet/MembershipNews.cpp
+++ b/packages/fleet/MembershipNews.cpp
@@ -7,32 +7,32 @@
 namespace shallot {
 namespace {
 
-/// Answers to others are bounded at this rate; the usual load is 2 a second.
+/// Limits the rate of replies to others; the usual rate is 2 per second.
 constexpr double RepliesPerSecond = 40;
-/// A seed is asked by a whole fleet that starts at one moment, and whoever gets
-/// no answer knows nobody. 320 answers of 1,200 bytes are a sixth of a second
-/// of a link of 20 Mbit/s.
+/// When a whole fleet starts at once, all of it asks the same seeds, and a
+/// daemon without a reply knows no other member. 320 replies of 1,200 bytes
+/// take a sixth of a second on a link of 20 Mbit/s.
 constexpr double ReplyBurst = 320;
 
-/// A tick this late says that this daemon is slow itself.
+/// A tick that is this late indicates that this daemon is slow.
 constexpr Duration LateTick = Millis(400);
 
-/// Peers to hear from anew after a pause: one may have been paused with us, as
-/// on the same rack.
+/// Peers that must answer after a pause. More than one, because a single peer
+/// may have been paused too, for example on the same rack.
 constexpr std::size_t PeersAfterPause = 2;
 
-/// The most peers remembered as heard; nobody asks for a larger number.
-constexpr std::size_t MaxHeardCounted = 64;
+/// The most peers tracked since the last pause; no caller needs a higher count.
+constexpr std::size_t MaxPeersSinceResume = 64;
 
 /// How long this daemon shows itself as Failed after it learns that others
-/// held it so: the time for its refutation to spread.
+/// considered it Failed: the time for its refutation to spread.
 constexpr Duration SelfFailedTime = Seconds(3);
 
-/// News passed on less often than this is fresh, and is sent to one member in
-/// each such time besides what rides on probes. 5 datagrams of at most 1,200
-/// bytes a second, and none at rest.
+/// An update sent less often than FreshSends is fresh. Fresh updates are sent
+/// to one member per FreshBroadcastPeriod, besides being piggybacked on probes:
+/// 5 datagrams of at most 1,200 bytes per second, and none at rest.
 constexpr unsigned FreshSends = 8;
-constexpr Duration FreshNewsPeriod = Millis(200);
+constexpr Duration FreshBroadcastPeriod = Millis(200);
 
 } // namespace
 
@@ -46,47 +46,47 @@
   Duration First = fromMillisF(uniform01(Rng) * toMillisF(Options.MinPeriod));
   NextPeriodAt = NextSyncAt = Now + First;
   NextTombstoneAt = NextSeedAt = LastRunAt = LastJoinAt = LastExpiryAt = Now;
-  NextCatchUpAt = NextNewsAt = Now;
+  NextCatchUpAt = NextBroadcastAt = Now;
 }
 
 //===----------------------------------------------------------------------===//
-// Time that passes, and time that this process did not live through.
+// Pauses.
 //===----------------------------------------------------------------------===//
 
-void Membership::Impl::liveThrough(Instant Now) {
+void Membership::Impl::detectPause(Instant Now) {
   Duration Gap = Now - LastRunAt;
   LastRunAt = std::max(LastRunAt, Now);
   if (Gap > Options.PauseThreshold)
-    wake(Gap, Now);
+    onResume(Gap, Now);
   else if (Gap > LateTick)
     worsenHealth();
 }
 
-/// A paused daemon wakes with a clock that says everybody was silent, and with
-/// a picture of the past. It would fail the whole fleet and use slots that now
-/// are others'. So the gap counts against nobody, and mayAct() is false until
-/// peers have answered questions put after the pause; what lay in the socket
-/// meanwhile proves nothing.
-void Membership::Impl::wake(Duration Gap, Instant Now) {
-  Stale = true;
+/// After a pause all peers seem to have been silent, and the view is outdated.
+/// Without this, the daemon would mark the whole fleet Failed and use slots
+/// that now belong to others. So the pause is not counted as silence of any
+/// member, and mayAct() is false until peers have answered requests sent after
+/// the pause. Datagrams that were queued in the socket meanwhile do not count.
+void Membership::Impl::onResume(Duration Gap, Instant Now) {
+  NeedsCatchUp = true;
   Probe.reset();
-  Helping.clear();
-  Syncs.clear();
+  HelperProbes.clear();
+  PendingSyncs.clear();
   Table.delaySuspicions(Gap);
-  HeardSinceWake.clear();
-  WakeSequence = NextSequence;
+  PeersSinceResume.clear();
+  ResumeSequence = NextSequence;
   SeedsTried = false;
   TablesEqual = false;
   NextCatchUpAt = NextSeedAt = Now;
-  if (Gap >= leastFailTime())
+  if (Gap >= minFailTime())
     showSelfFailed(Now);
-  event(MembershipEventKind::Paused, Self.Who.Id, HostId(),
-        fmt::format("did not run for {} ms", toMillis(Gap)));
+  emitEvent(MembershipEventKind::Paused, Self.Who.Id, HostId(),
+            fmt::format("did not run for {} ms", toMillis(Gap)));
 }
 
-/// Others that held this daemon for failed gave its slots away. It shows itself
-/// as failed until they have heard that it is back, and so takes its slots
-/// again as newly gained ones, with the guard that those have.
+/// Members that considered this daemon Failed have reassigned its slots. It
+/// shows itself as Failed until they know that it is back, so that it treats
+/// the slots as newly gained ones, with the same guard.
 void Membership::Impl::showSelfFailed(Instant Now) {
   SelfShownFailed = true;
   SelfFailedUntil = Now + SelfFailedTime;
@@ -94,33 +94,33 @@
 }
 
 void Membership::Impl::tickCatchUp(Instant Now) {
-  if (!Stale || Now < NextCatchUpAt)
+  if (!NeedsCatchUp || Now < NextCatchUpAt)
     return;
   NextCatchUpAt = Now + Options.MinPeriod;
   for (const DaemonId &Peer : randomPeers(Options.IndirectProbes))
     sendSyncRequest(Table.find(Peer.Host)->Fact.Who.Gossip, Peer, Now);
   if (peersKnown() == 0 && SeedsTried)
-    heardAnew(HostId(), NextSequence, Now);
+    onFreshReply(HostId(), NextSequence, Now);
 }
 
-void Membership::Impl::heardAnew(const HostId &Host, std::uint64_t Sequence,
-                                 Instant Now) {
-  if (Sequence < WakeSequence)
+void Membership::Impl::onFreshReply(const HostId &Host, std::uint64_t Sequence,
+                                    Instant Now) {
+  if (Sequence < ResumeSequence)
     return;
-  if (!Host.empty() && HeardSinceWake.size() < MaxHeardCounted)
-    HeardSinceWake.insert(Host);
-  if (!Stale || peersHeard() < std::min(PeersAfterPause, peersKnown()))
+  if (!Host.empty() && PeersSinceResume.size() < MaxPeersSinceResume)
+    PeersSinceResume.insert(Host);
+  if (!NeedsCatchUp || peersHeard() < std::min(PeersAfterPause, peersKnown()))
     return;
-  Stale = false;
+  NeedsCatchUp = false;
   LastJoinAt = Now;
   SelfFailedUntil = Now + SelfFailedTime;
-  event(MembershipEventKind::CaughtUp, Self.Who.Id, HostId(),
-        fmt::format("compared tables with {} of {} peers", peersHeard(),
-                    peersKnown()));
+  emitEvent(MembershipEventKind::CaughtUp, Self.Who.Id, HostId(),
+            fmt::format("compared tables with {} of {} peers", peersHeard(),
+                        peersKnown()));
 }
 
 std::size_t Membership::Impl::peersHeard() const {
-  return std::ranges::count_if(HeardSinceWake, [&](const HostId &Host) {
+  return std::ranges::count_if(PeersSinceResume, [&](const HostId &Host) {
     const MemberRecord *R = Table.find(Host);
     return R && internal::isLive(*R);
   });
@@ -132,17 +132,17 @@
 
 std::string Membership::Impl::refusalReason(Instant Now) const {
   if (IsSuperseded)
-    return "a later run of this host is in the fleet";
+    return "a later incarnation of this host is in the fleet";
   if (Now - LastRunAt > Options.PauseThreshold)
     return fmt::format("did not run for {} ms", toMillis(Now - LastRunAt));
-  if (Stale)
+  if (NeedsCatchUp)
     return fmt::format("was paused; {} of {} peers answered since",
                        peersHeard(), std::min(PeersAfterPause, peersKnown()));
   return {};
 }
 
 bool Membership::Impl::settled(Instant Now) const {
-  if (Stale)
+  if (NeedsCatchUp)
     return false;
   if (peersHeard() > 0)
     return TablesEqual && Now - LastJoinAt >= Options.SettleTime;
@@ -151,12 +151,12 @@
 }
 
 void Membership::Impl::tick(Instant Now) {
-  if (SelfShownFailed && !Stale && Now >= SelfFailedUntil) {
+  if (SelfShownFailed && !NeedsCatchUp && Now >= SelfFailedUntil) {
     SelfShownFailed = false;
     Table.showSelfFailed(Self.Who.Id.Host, false);
   }
   tickCatchUp(Now);
-  tickNews(Now);
+  tickBroadcasts(Now);
   tickProbes(Now);
   tickHelpers(Now);
   tickSuspects(Now);
@@ -166,17 +166,17 @@
 }
 
 //===----------------------------------------------------------------------===//
-// News.
+// Updates and broadcasts.
 //===----------------------------------------------------------------------===//
 
 void Membership::Impl::receive(const GossipMessage &M, Instant Now) {
   const DaemonId &From = M.Sender.Who.Id;
   if (From == Self.Who.Id)
-    return; // Our own seed list names us.
-  learn(M.Sender, From.Host, Now);
-  Table.heard(M, Now);
+    return; // The seeds may include our own endpoint.
+  applyUpdate(M.Sender, From.Host, Now);
+  Table.recordHeard(M, Now);
   for (const MemberUpdate &U : M.Updates)
-    learn(U, From.Host, Now);
+    applyUpdate(U, From.Host, Now);
   switch (M.Kind) {
   case GossipKind::Probe:
     return onProbe(M, Now);
@@ -196,109 +196,111 @@
   }
 }
 
-void Membership::Impl::learn(const MemberUpdate &U, const HostId &From,
-                             Instant Now) {
+void Membership::Impl::applyUpdate(const MemberUpdate &U, const HostId &From,
+                                   Instant Now) {
   if (U.Who.Id.Host == Self.Who.Id.Host)
-    return learnOfSelf(U, From, Now);
+    return applyUpdateAboutSelf(U, From, Now);
   RecordBefore Before = Table.before(U.Who.Id.Host);
   internal::MergeResult Merged = Table.merge(U, Now);
-  if (Merged == internal::MergeResult::Full)
-    event(MembershipEventKind::TableFull, U.Who.Id, From,
-          fmt::format("{} members are known", MaxMembers));
-  if (Merged == internal::MergeResult::Doubt)
-    doubt(U.Who.Id.Host);
-  if (Merged != internal::MergeResult::News)
+  if (Merged == internal::MergeResult::AtCapacity)
+    emitEvent(MembershipEventKind::TableFull, U.Who.Id, From,
+              fmt::format("the table is full with {} members", MaxMembers));
+  if (Merged == internal::MergeResult::NeedsProbe)
+    requestProbe(U.Who.Id.Host);
+  if (Merged != internal::MergeResult::Updated)
     return;
-  News.add(U.Who.Id.Host);
-  tell(Before, *Table.find(U.Who.Id.Host), From, Now);
+  Broadcasts.add(U.Who.Id.Host);
+  emitChangeEvents(Before, *Table.find(U.Who.Id.Host), From, Now);
 }
 
-void Membership::Impl::learnOfSelf(const MemberUpdate &U, const HostId &From,
-                                   Instant Now) {
+void Membership::Impl::applyUpdateAboutSelf(const MemberUpdate &U,
+                                            const HostId &From, Instant Now) {
   if (U.Who.Id.Incarnation > Self.Who.Id.Incarnation && !IsSuperseded) {
     IsSuperseded = true;
-    event(MembershipEventKind::Superseded, U.Who.Id, From,
-          "the fleet knows a later run of this host");
+    emitEvent(MembershipEventKind::Superseded, U.Who.Id, From,
+              "the fleet has a later incarnation of this host");
   }
   if (U.Who.Id != Self.Who.Id || U.ObservedHealth == Health::Trusted ||
       Self.Who.State == MemberState::Left)
     return;
-  // Also when it was refuted already: some may have gone on to Failed on an
-  // accusation of which we heard only the beginning. Once for each version.
+  // Even if refuted before: some members may have reached Failed after a
+  // suspicion of which we only saw the beginning. Once for each version.
   if (U.ObservedHealth == Health::Failed && U.Version >= NextFailedVersion) {
     NextFailedVersion = U.Version + 1;
     showSelfFailed(Now);
   }
   if (U.Version < Self.Version)
     return;
-  saySelf(Self.Who.State, U.Version + 1, Now);
+  updateSelf(Self.Who.State, U.Version + 1, Now);
   worsenHealth();
-  event(MembershipEventKind::Accused, Self.Who.Id, U.Accuser,
-        fmt::format("{} held this daemon {}, told by {}; refuted with version "
-                    "{}",
-                    U.Accuser.str(),
-                    U.ObservedHealth == Health::Failed ? "failed" : "suspect",
-                    From.str(), Self.Version));
+  emitEvent(
+      MembershipEventKind::Accused, Self.Who.Id, U.Accuser,
+      fmt::format("{} considered this daemon {}, reported by {}; refuted "
+                  "with version {}",
+                  U.Accuser.str(),
+                  U.ObservedHealth == Health::Failed ? "failed" : "suspect",
+                  From.str(), Self.Version));
 }
 
-void Membership::Impl::tell(const RecordBefore &Before,
-                            const MemberRecord &After, const HostId &From,
-                            Instant Now) {
+void Membership::Impl::emitChangeEvents(const RecordBefore &Before,
+                                        const MemberRecord &After,
+                                        const HostId &From, Instant Now) {
   using Kind = MembershipEventKind;
   const DaemonId &Who = After.Fact.Who.Id;
-  std::string Origin = From == Who.Host ? std::string("its own word")
-                                        : fmt::format("told by {}", From.str());
+  std::string Origin = From == Who.Host
+                           ? std::string("reported by the member itself")
+                           : fmt::format("reported by {}", From.str());
   bool NewRun = Before.Known && Before.Incarnation != Who.Incarnation;
-  bool WasLive = Before.Known && Before.Shown != MemberState::Failed &&
-                 Before.Shown != MemberState::Left;
+  bool WasLive = Before.Known && Before.Visible != MemberState::Failed &&
+                 Before.Visible != MemberState::Left;
   if (!WasLive && internal::isLive(After)) {
     LastJoinAt = Now;
-    enterOrder(Who.Host);
+    insertIntoOrder(Who.Host);
   }
   if (!Before.Known) {
-    event(Kind::Joined, Who, From, Origin);
-    return applyListed(Who.Host);
+    emitEvent(Kind::Joined, Who, From, Origin);
+    return applyListedState(Who.Host);
   }
   if (NewRun)
-    event(Kind::Restarted, Who, From, Origin);
+    emitEvent(Kind::Restarted, Who, From, Origin);
   else if (Before.ObservedHealth == Health::Failed &&
            After.Fact.ObservedHealth != Health::Failed)
-    event(Kind::Recovered, Who, From, Origin);
+    emitEvent(Kind::Recovered, Who, From, Origin);
   else if (Before.ObservedHealth == Health::Trusted &&
            After.Fact.ObservedHealth == Health::Suspect)
-    event(Kind::Suspected, Who, After.Fact.Accuser, Origin);
+    emitEvent(Kind::Suspected, Who, After.Fact.Accuser, Origin);
   else if (Before.ObservedHealth == Health::Suspect &&
            After.Fact.ObservedHealth == Health::Trusted)
-    event(Kind::Refuted, Who, From, Origin);
+    emitEvent(Kind::Refuted, Who, From, Origin);
   if (Before.Declared == After.Fact.Who.State && !NewRun)
     return;
   if (After.Fact.Who.State == MemberState::Alive)
-    event(Kind::Ready, Who, From, Origin);
+    emitEvent(Kind::Ready, Who, From, Origin);
   if (After.Fact.Who.State == MemberState::Leaving)
-    event(Kind::Leaving, Who, From, Origin);
+    emitEvent(Kind::Leaving, Who, From, Origin);
   if (After.Fact.Who.State == MemberState::Left)
-    event(Kind::Left, Who, From, Origin);
+    emitEvent(Kind::Left, Who, From, Origin);
 }
 
-void Membership::Impl::event(MembershipEventKind Kind, const DaemonId &Who,
-                             const HostId &By, std::string Evidence) {
+void Membership::Impl::emitEvent(MembershipEventKind Kind, const DaemonId &Who,
+                                 const HostId &By, std::string Evidence) {
   Out.Events.push_back({Kind, Who, By, std::move(Evidence)});
 }
 
-void Membership::Impl::saySelf(MemberState State, std::uint64_t Version,
-                               Instant Now) {
+void Membership::Impl::updateSelf(MemberState State, std::uint64_t Version,
+                                  Instant Now) {
   Self.Who.State = State;
   Self.Version = Version;
   Table.setSelf(Self, Now);
-  News.add(Self.Who.Id.Host);
+  Broadcasts.add(Self.Who.Id.Host);
 }
 
-/// News waits for the next probe only once it is known to many: a suspicion
-/// has to be everywhere before its time runs out, and so has its refutation.
-void Membership::Impl::tickNews(Instant Now) {
-  if (Now < NextNewsAt || !News.anyBelow(FreshSends))
+/// Sends fresh updates without waiting for the next probe: a suspicion has to
+/// reach all members before its timeout, and so has its refutation.
+void Membership::Impl::tickBroadcasts(Instant Now) {
+  if (Now < NextBroadcastAt || !Broadcasts.anyBelow(FreshSends))
     return;
-  NextNewsAt = Now + FreshNewsPeriod;
+  NextBroadcastAt = Now + FreshBroadcastPeriod;
   notify(1);
 }
 
@@ -320,9 +322,9 @@
   return M;
 }
 
-/// Fills \p M up with news. What the receiver has to refute goes first: a
-/// suspect that learns of it from the very probe can answer with a refutation,
-/// however much other news there is.
+/// Fills \p M up with updates. An accusation of the receiver goes first, so
+/// that a suspect learns of it from the probe itself and can refute it in its
+/// answer, however many other updates are queued.
 void Membership::Impl::send(const Endpoint &To, const DaemonId &ToId,
                             GossipMessage M) {
   std::size_t Bytes = wireBytes(M);
@@ -338,26 +340,26 @@
   bool Outdated = R && ToId.Incarnation < R->Fact.Who.Id.Incarnation;
   if (R && (R->Fact.ObservedHealth != Health::Trusted || Outdated))
     Add(R->Fact);
-  News.pass(newsLimit(), [&](const HostId &Host) {
+  Broadcasts.transmit(transmitLimit(), [&](const HostId &Host) {
     const MemberRecord *Known = Table.find(Host);
-    bool InSender = Host == Self.Who.Id.Host || Host == ToId.Host;
-    return !Known || InSender || Add(Known->Fact);
+    bool IsSelfOrReceiver = Host == Self.Who.Id.Host || Host == ToId.Host;
+    return !Known || IsSelfOrReceiver || Add(Known->Fact);
   });
   Out.Sends.push_back({To, std::move(M)});
 }
 
-/// A few times the logarithm of the fleet, after SWIM: enough for all to have
-/// heard of it but for a small part, which the comparison of tables finds.
-unsigned Membership::Impl::newsLimit() const {
+/// A multiple of the logarithm of the fleet size, as in SWIM. This reaches all
+/// but a few members; table comparison repairs the rest.
+unsigned Membership::Impl::transmitLimit() const {
   return 3 * static_cast<unsigned>(std::bit_width(Table.live()));
 }
 
-/// A random member whose table equals ours needs none of our news, so most
-/// others will not either. Without this, a daemon that learned of a whole
-/// fleet at once would pass all of it on for an hour. Suspicions are not in
-/// what was compared and stay.
-void Membership::Impl::ageNews() {
-  News.age(newsLimit() / 3, newsLimit(), [&](const HostId &Host) {
+/// If the table of a random member equals ours, it needs none of our updates,
+/// and most other members will not either. Without this, a daemon that learned
+/// of a whole fleet at once would keep sending all of it for an hour.
+/// Suspicions are not part of the digests, so they stay queued.
+void Membership::Impl::ageBroadcasts() {
+  Broadcasts.age(transmitLimit() / 3, transmitLimit(), [&](const HostId &Host) {
     const MemberRecord *R = Table.find(Host);
     return R && R->Fact.ObservedHealth != Health::Trusted;
   });
--- a/packages/fleet/MembershipSync.cpp
+++ b/packages/fleet/MembershipSync.cpp
@@ -9,55 +9,57 @@
 
 namespace {
 
-/// Comparisons waiting for their reply at a time, and how long each waits.
-constexpr std::size_t MaxSyncs = 8;
+/// The most table comparisons in flight, and the timeout of each.
+constexpr std::size_t MaxPendingSyncs = 8;
 constexpr Duration SyncTimeout = Seconds(3);
 
-/// Members drawn until one of the own region is among them: enough in a fleet
-/// of seven regions nine times out of ten.
-constexpr std::size_t ComparisonCandidates = 16;
+/// Members sampled to find one of the own region: succeeds nine times out of
+/// ten in a fleet of seven regions.
+constexpr std::size_t SyncCandidates = 16;
 
-/// Part of the comparisons that may be with another region. Enough for 295
-/// daemons in two regions that start together to agree as soon as with all:
-/// after 3.3 s, and 3.5 s without a preference (virtual time, one seed).
-constexpr double FarComparisons = 0.125;
+/// Fraction of comparisons that may be with another region. With it, 295
+/// daemons in two regions that start together converge after 3.3 s, and after
+/// 3.5 s without a preference (simulated time, one seed).
+constexpr double CrossRegionSyncFraction = 0.125;
 
-/// Seeds asked at a time by a daemon that has not heard from anybody.
-constexpr std::size_t SeedsAtStart = 3;
+/// Seeds asked at a time by a daemon that has not heard from any peer.
+constexpr std::size_t SeedsPerAttempt = 3;
 
-/// All daemons together ask one seed that is no member about this often in
-/// TombstoneProbePeriod, whatever the fleet's size.
-constexpr double AskersOfSeed = 4;
+/// The number of requests that all daemons together send to one seed that is no
+/// member per TombstoneProbePeriod, independent of the fleet size.
+constexpr double SendersPerSeed = 4;
 
-/// In a large fleet something always changes; this many of its 64 parts may
-/// differ in a picture that is good enough to start with.
-constexpr int UnsettledBuckets = 2;
+/// A large fleet is always changing. The view of a daemon that starts may
+/// differ from its peer's in this many of the 64 buckets.
+constexpr int MaxDifferingBuckets = 2;
 constexpr std::size_t LargeFleet = 64;
 
 } // namespace
 
 void Membership::Impl::tickSync(Instant Now) {
-  std::erase_if(Syncs, [&](const RunningSync &S) { return Now >= S.Until; });
+  std::erase_if(PendingSyncs,
+                [&](const PendingSync &S) { return Now >= S.Until; });
   if (Now < NextSyncAt)
     return;
   Duration Period = TablesEqual ? Options.SyncPeriod : meanPeriod();
   NextSyncAt = Now + fromMillisF(toMillisF(Period) * (0.5 + uniform01(Rng)));
-  if (std::optional<DaemonId> Peer = comparisonPeer())
+  if (std::optional<DaemonId> Peer = syncPeer())
     sendSyncRequest(Table.find(Peer->Host)->Fact.Who.Gossip, *Peer, Now);
 }
 
-/// Mostly one of the own region: what one of it has learned from another region
-/// reaches the rest on the near links.
-std::optional<DaemonId> Membership::Impl::comparisonPeer() {
-  std::vector<DaemonId> Peers = randomPeers(ComparisonCandidates);
+/// Prefers members of the own region: what one of them has learned from another
+/// region spreads over the local links.
+std::optional<DaemonId> Membership::Impl::syncPeer() {
+  std::vector<DaemonId> Peers = randomPeers(SyncCandidates);
   if (Peers.empty())
     return std::nullopt;
-  auto Near = [&](const DaemonId &Id) {
+  auto SameRegion = [&](const DaemonId &Id) {
     return Table.find(Id.Host)->Fact.Who.Reg == Self.Who.Reg;
   };
-  auto Found = std::ranges::find_if(Peers, Near);
-  bool Far = Found == Peers.end() || uniform01(Rng) < FarComparisons;
-  return Far ? Peers.front() : *Found;
+  auto Found = std::ranges::find_if(Peers, SameRegion);
+  bool CrossRegion =
+      Found == Peers.end() || uniform01(Rng) < CrossRegionSyncFraction;
+  return CrossRegion ? Peers.front() : *Found;
 }
 
 void Membership::Impl::sendSyncRequest(const Endpoint &To,
@@ -65,9 +67,9 @@
   GossipMessage M = message(GossipKind::SyncRequest, NextSequence++);
   M.Target = Target;
   M.Digests.assign(Table.digests().begin(), Table.digests().end());
-  if (Syncs.size() >= MaxSyncs)
-    Syncs.erase(Syncs.begin());
-  Syncs.push_back({M.Sequence, Now + SyncTimeout});
+  if (PendingSyncs.size() >= MaxPendingSyncs)
+    PendingSyncs.erase(PendingSyncs.begin());
+  PendingSyncs.push_back({M.Sequence, Now + SyncTimeout});
   send(To, Target, std::move(M));
 }
 
@@ -82,26 +84,26 @@
 }
 
 void Membership::Impl::onSyncReply(const GossipMessage &M, Instant Now) {
-  auto It = std::ranges::find(Syncs, M.Sequence, &RunningSync::Sequence);
-  if (It == Syncs.end())
-    return; // A further datagram of a reply that was taken already.
-  Syncs.erase(It);
+  auto It = std::ranges::find(PendingSyncs, M.Sequence, &PendingSync::Sequence);
+  if (It == PendingSyncs.end())
+    return; // Another datagram of a reply that was already handled.
+  PendingSyncs.erase(It);
   int Parts = std::popcount(M.Buckets);
-  TablesEqual =
-      Parts == 0 || (Table.live() >= LargeFleet && Parts <= UnsettledBuckets);
+  TablesEqual = Parts == 0 ||
+                (Table.live() >= LargeFleet && Parts <= MaxDifferingBuckets);
   if (Parts == 0)
-    ageNews();
+    ageBroadcasts();
   if (Parts != 0) {
     NextSyncAt = std::min(NextSyncAt, Now + meanPeriod());
     sendBuckets(GossipKind::SyncPush, M, M.Buckets, M.Buckets, Now);
   }
-  heardAnew(M.Sender.Who.Id.Host, M.Sequence, Now);
+  onFreshReply(M.Sender.Who.Id.Host, M.Sequence, Now);
 }
 
-/// Sends the members of the parts in \p Mask, in as many datagrams as the rate
-/// allows: the first one of a reply always, so that the asker learns how much
-/// differs. It begins at a random part, so that repeated comparisons get
-/// through a large table.
+/// Sends the members of the buckets in \p Mask in as many datagrams as the rate
+/// limit allows. The first datagram of a reply is always sent, so that the
+/// requester learns how much differs. Starts at a random bucket, so that
+/// repeated comparisons cover a large table.
 void Membership::Impl::sendBuckets(GossipKind Kind, const GossipMessage &To,
                                    std::uint64_t Mask, std::uint64_t Wanted,
                                    Instant Now) {
@@ -136,8 +138,8 @@
       M.Updates.push_back(R->Fact);
     }
   }
-  bool Owed = Kind == GossipKind::SyncReply && Mask == 0;
-  if (MaySend && (Owed || !M.Updates.empty()))
+  bool MustReply = Kind == GossipKind::SyncReply && Mask == 0;
+  if (MaySend && (MustReply || !M.Updates.empty()))
     send(To.Sender.Who.Gossip, To.Sender.Who.Id, std::move(M));
 }
 
@@ -149,14 +151,14 @@
   if (Now < NextSeedAt)
     return;
   std::vector<Endpoint> Unknown = unknownSeeds();
-  bool Alone = peersHeard() == 0;
-  double Askers = static_cast<double>(Table.live());
+  bool IsAlone = peersHeard() == 0;
+  double Senders = static_cast<double>(Table.live());
   double Count = std::max<double>(1, static_cast<double>(Unknown.size()));
-  double Factor = std::max(1.0, Askers / (AskersOfSeed * Count));
-  Duration Period = Alone ? meanPeriod() : Options.TombstoneProbePeriod;
-  double Ms = toMillisF(Period) * (Alone ? 1 : Factor);
+  double Factor = std::max(1.0, Senders / (SendersPerSeed * Count));
+  Duration Period = IsAlone ? meanPeriod() : Options.TombstoneProbePeriod;
+  double Ms = toMillisF(Period) * (IsAlone ? 1 : Factor);
   NextSeedAt = Now + fromMillisF(Ms * (0.5 + uniform01(Rng)));
-  std::size_t AtOnce = std::min(Alone ? SeedsAtStart : 1, Unknown.size());
+  std::size_t AtOnce = std::min(IsAlone ? SeedsPerAttempt : 1, Unknown.size());
   for (std::size_t N = 0; N < AtOnce; ++N)
     sendSyncRequest(Unknown[NextSeed++ % Unknown.size()], DaemonId(), Now);
   if (!SeedsTried && NextSeed >= Unknown.size()) {
@@ -165,7 +167,7 @@
   }
 }
 
-/// Seeds at which no member is known. Failed members are probed as such.
+/// Seeds without a live member. Failed members are probed as tombstones.
 std::vector<Endpoint> Membership::Impl::unknownSeeds() const {
   std::vector<Endpoint> Unknown;
   for (const Endpoint &E : Seeds)
@@ -173,7 +175,7 @@
       Unknown.push_back(E);
   for (const ListedHost &H : Listed) {
     const MemberRecord *R = Table.find(H.Host);
-    if (!R || shownState(*R) == MemberState::Left)
+    if (!R || visibleState(*R) == MemberState::Left)
       Unknown.push_back(H.Gossip);
   }
   return Unknown;
@@ -185,35 +187,35 @@
   });
 }
 
-void Membership::Impl::takeHostList(const std::vector<ListedHost> &Hosts) {
+void Membership::Impl::applyHostList(const std::vector<ListedHost> &Hosts) {
   Listed.assign(Hosts.begin(),
                 Hosts.begin() + static_cast<std::ptrdiff_t>(
                                     std::min(Hosts.size(), MaxMembers)));
   std::ranges::sort(Listed, {}, &ListedHost::Host);
   for (const auto &[Host, R] : Table.records())
-    applyListed(Host);
+    applyListedState(Host);
 }
 
-const ListedHost *Membership::Impl::listed(const HostId &Host) const {
+const ListedHost *Membership::Impl::findListed(const HostId &Host) const {
   auto It = std::ranges::lower_bound(Listed, Host, {}, &ListedHost::Host);
   return It != Listed.end() && It->Host == Host ? &*It : nullptr;
 }
 
-/// The list lags, so its "leaving" holds for the run that is known when it is
-/// read: a later run of the host starts unmarked (MemberTable). This daemon is
-/// never marked: its own planned stop comes from its operator.
-void Membership::Impl::applyListed(const HostId &Host) {
+/// The host list lags, so its "leaving" only applies to the incarnation known
+/// when the list is read; a later incarnation starts unmarked (MemberTable).
+/// This daemon is never marked: its own planned stop comes from its operator.
+void Membership::Impl::applyListedState(const HostId &Host) {
   if (Host == Self.Who.Id.Host)
     return;
-  const ListedHost *L = listed(Host);
+  const ListedHost *L = findListed(Host);
   const MemberRecord *R = Table.find(Host);
   bool Leaving = L && L->Leaving;
   if (R->ListedLeaving == Leaving)
     return;
   Table.setListedLeaving(Host, Leaving);
   if (Leaving)
-    event(MembershipEventKind::Leaving, R->Fact.Who.Id, HostId(),
-          "the platform's host list");
+    emitEvent(MembershipEventKind::Leaving, R->Fact.Who.Id, HostId(),
+              "the platform's host list");
 }
 
 } // namespace shallot
--- a/packages/fleet/WatcherChoice.cpp
+++ b/packages/fleet/WatcherChoice.cpp
@@ -23,8 +23,8 @@
 std::vector<DaemonId> watchersOf(const AvailabilityZone &Zone,
                                  const std::vector<Member> &Members) {
   std::vector<DaemonId> Chosen = candidates(Zone, Members, takesNewWork);
-  // When a whole zone starts at once nobody takes work until there is a
-  // configuration, and nobody would fetch it: those that are starting do.
+  // When a whole zone starts at once, no member takes new work until there is a
+  // configuration, so the starting members have to fetch it.
   if (Chosen.empty())
     Chosen = candidates(Zone, Members, starting);
   auto Heavier = [&](const DaemonId &A, const DaemonId &B) {
--- a/packages/fleet/WatcherChoice.h
+++ b/packages/fleet/WatcherChoice.h
@@ -1,11 +1,11 @@
-//===- WatcherChoice.h - Who watches the platform ---------------*- C++ -*-===//
+//===- WatcherChoice.h - Selects the watchers of the platform ---*- C++ -*-===//
 //
-// The platform counts every waiting watch and its rates grow more slowly than
-// the fleet, so only WatchersPerZone daemons of each availability zone watch
-// the configuration head. They are chosen by rendezvous hashing over the
-// members that this daemon sees: no messages, no leases. Daemons whose views
-// differ may choose different watchers for a few seconds; that costs some more
-// watches and nothing else, because watching only tells what is newer.
+// The platform counts every open watch, and its rate limits grow more slowly
+// than the fleet, so only WatchersPerZone daemons of each availability zone
+// watch the configuration head. They are selected by rendezvous hashing over
+// the local view, without messages or leases. Daemons with different views may
+// select different watchers for a few seconds. This costs a few more watches
+// and is otherwise harmless, since a watch only reports newer generations.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_WATCHERCHOICE_H
@@ -17,17 +17,17 @@
 
 namespace shallot {
 
-/// One can fail and the other still sees a change at once; a third would only
-/// cost calls, since zones also hear of changes from each other.
+/// When one watcher fails the other still sees a change at once. A third would
+/// only cost calls, since zones also learn of changes from each other.
 inline constexpr std::size_t WatchersPerZone = 2;
 
-/// The watchers of \p Zone, the first choice first. Members that take new work
-/// are candidates; when there are none, those that are starting are.
+/// Returns the watchers of \p Zone, highest weight first. Candidates are the
+/// members that take new work or, if there are none, those that are starting.
 std::vector<DaemonId> watchersOf(const AvailabilityZone &Zone,
                                  const std::vector<Member> &Members);
 
-/// True when \p Self is one of the watchers of its zone. A daemon that is not
-/// in the view counts itself as the only member.
+/// Returns true if \p Self is a watcher of its zone. A daemon that is missing
+/// from the view considers itself the only member.
 bool isWatcher(const DaemonId &Self, const AvailabilityZone &Zone,
                const std::vector<Member> &Members);
 
--- a/packages/fleet/include/shallotshift/fleet.h
+++ b/packages/fleet/include/shallotshift/fleet.h
@@ -1,10 +1,10 @@
-//===- shallotshift/fleet.h - Decisions of the fleet ------------*- C++ -*-===//
+//===- shallotshift/fleet.h - Membership and configuration ------*- C++ -*-===//
 //
-// The public header of package fleet: who is a member (Membership.h) and what
-// members say to each other (GossipMessage.h), where callers connect
-// (EntryDirectory.h), which hosts carry them (CarrierChoice.h, LoadLevel.h),
-// how a daemon starts and stops (Lifecycle.h), and how the configuration
-// reaches every daemon (ConfigSync.h, WatcherChoice.h).
+// The public header of package fleet: group membership and failure detection
+// (Membership.h, GossipMessage.h), the addresses that callers connect to
+// (EntryDirectory.h) and the hosts that serve them (CarrierChoice.h,
+// LoadLevel.h), the start and shutdown of a daemon (Lifecycle.h), and the
+// distribution of the configuration (ConfigSync.h, WatcherChoice.h).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_H
