--- a/tests/correctness/CarriersFollowTheLoad.cpp
+++ b/tests/correctness/CarriersFollowTheLoad.cpp
@@ -1,6 +1,6 @@
-// Which hosts of a zone carry its callers: as few as the load needs, large ones
-// first, more when they are busy, others when they are lost; and the set does
-// not swing while it finds its size.
+// Entry hosts of a zone: as few as the load needs, large hosts first; more when
+// the load grows, others when hosts fail. Guards against sets that oscillate
+// while they converge.
 #include "shallotshift/fleet.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t Most = 64;
+constexpr std::size_t MaxHosts = 64;
 
 struct ZoneFixture {
   std::vector<Member> Hosts;
@@ -33,16 +33,16 @@
       if (M.State == MemberState::Alive)
         Alive.push_back(&M);
     }
-    return chooseEntryHosts(Alive, All, Most);
+    return chooseEntryHosts(Alive, All, MaxHosts);
   }
   std::size_t count() const { return choose().size(); }
   Member &host(std::size_t I) { return Hosts[I]; }
 };
 
-/// A zone whose carriers share \p Millicores of work evenly, as they say it.
-struct LivingZone : ZoneFixture {
+/// A zone whose entry hosts share \p Millicores of load evenly and announce it.
+struct SimulatedZone : ZoneFixture {
   std::vector<LoadLevel> Levels;
-  std::set<std::size_t> Sizes; ///< Since the last time it was cleared.
+  std::set<std::size_t> Sizes; ///< Sizes of the set since it was cleared.
   Instant Now{Seconds(100)};
 
   void start() {
@@ -69,15 +69,14 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ZoneFixture, "two or three equal hosts all carry") {
+TEST_CASE_FIXTURE(ZoneFixture, "two or three equal hosts are all selected") {
   add(2, 250);
   CHECK(count() == 2);
   add(1, 250);
   CHECK(count() == 3);
 }
 
-TEST_CASE_FIXTURE(ZoneFixture,
-                  "large hosts carry, small ones do not join them") {
+TEST_CASE_FIXTURE(ZoneFixture, "small hosts are not added to large ones") {
   add(40, 120);
   add(2, 500);
   auto Chosen = choose();
@@ -87,42 +86,42 @@
 }
 
 TEST_CASE_FIXTURE(ZoneFixture,
-                  "one large host among many small carries with its like") {
-  // Callers pick at random: with small ones beside it, it gets no more than
-  // they do, so the set holds as many times the smallest.
+                  "a single large host among small ones gets an equal share") {
+  // Callers choose at random, so a large host gets no more than the small ones,
+  // and the usable capacity is a multiple of the smallest.
   add(1, 1000);
   add(20, 250);
-  // A fifth of 6000 is the first guess; five of them hold 1250.
+  // The initial set holds a fifth of 6000; five hosts have 1250.
   CHECK(count() == 5);
 }
 
-TEST_CASE_FIXTURE(ZoneFixture, "equal hosts carry as many as the load needs") {
+TEST_CASE_FIXTURE(ZoneFixture, "as many equal hosts as the load needs") {
   add(49, 120);
-  CHECK(count() == 10); // A fifth, until they have said what it takes.
+  CHECK(count() == 10); // A fifth, until a load is announced.
   for (std::size_t I = 0; I < 10; ++I)
-    host(I).Load = 7; // 70 thousandths: 470 at the use that is aimed at.
+    host(I).Load = 7; // 70 millicores need 470 at TargetUtilization.
   CHECK(count() == 4);
   for (std::size_t I = 0; I < 10; ++I)
-    host(I).Load = 60; // Half used.
+    host(I).Load = 60; // Half utilized.
   CHECK(count() == 34);
 }
 
-TEST_CASE_FIXTURE(ZoneFixture, "the load of lost carriers stays the zone's") {
+TEST_CASE_FIXTURE(ZoneFixture, "the load of failed entry hosts still counts") {
   add(3, 500, 100);
   add(40, 120);
-  CHECK(count() == 3); // A fifth of them in use: not worth slower hosts.
+  CHECK(count() == 3); // A fifth utilized: smaller hosts would be slower.
   for (std::size_t I = 0; I < 3; ++I)
     host(I).State = MemberState::Failed;
   auto Chosen = choose();
-  CHECK(Chosen.size() == 17); // 17 x 120 hold 2000.
+  CHECK(Chosen.size() == 17); // 17 x 120 have 2040 of the 2000 needed.
 }
 
-TEST_CASE_FIXTURE(ZoneFixture, "a zone at its limit is carried by all it has") {
+TEST_CASE_FIXTURE(ZoneFixture, "a fully loaded zone uses all of its hosts") {
   add(30, 120, 119);
   CHECK(count() == 30);
 }
 
-TEST_CASE_FIXTURE(ZoneFixture, "another load moves only the last hosts") {
+TEST_CASE_FIXTURE(ZoneFixture, "a change in load moves only the last hosts") {
   add(49, 120, 5);
   auto Few = choose();
   for (Member &M : Hosts)
@@ -132,7 +131,7 @@
   CHECK(std::equal(Few.begin(), Few.end(), More.begin()));
 }
 
-TEST_CASE_FIXTURE(LivingZone, "equal hosts find their size and keep it") {
+TEST_CASE_FIXTURE(SimulatedZone, "the number of equal hosts converges") {
   add(49, 120);
   start();
   run(Seconds(60), 72);
@@ -143,8 +142,8 @@
   CHECK(*Sizes.begin() <= 6);
 }
 
-TEST_CASE_FIXTURE(LivingZone, "the set does not swing while it shrinks") {
-  // A wide set at the start, then fewer; never fewer than the load needs.
+TEST_CASE_FIXTURE(SimulatedZone, "the set shrinks without undershoot") {
+  // Starts with the large initial set and never falls below the need.
   add(49, 120);
   start();
   run(Seconds(60), 72);
@@ -152,20 +151,21 @@
   CHECK(*Sizes.begin() >= 3);
 }
 
-TEST_CASE_FIXTURE(LivingZone, "a burst by eight finds more hosts in seconds") {
+TEST_CASE_FIXTURE(SimulatedZone,
+                  "an eightfold load adds hosts within seconds") {
   add(49, 120);
   start();
   run(Seconds(60), 72);
   Sizes.clear();
   run(Seconds(5), 8 * 72);
-  // 576 thousandths fit into 5 hosts; with room for the work to come in turns.
+  // 576 millicores fit into 5 hosts; more are needed for TargetUtilization.
   CHECK(count() >= 15);
   run(Seconds(60), 72);
   CHECK(count() <= 6);
 }
 
-TEST_CASE_FIXTURE(LivingZone,
-                  "a burst of three seconds that fits moves nobody") {
+TEST_CASE_FIXTURE(SimulatedZone,
+                  "a three-second burst that fits changes nothing") {
   add(3, 500);
   add(46, 120);
   start();
@@ -176,11 +176,11 @@
   CHECK(Sizes == std::set<std::size_t>{3});
 }
 
-TEST_CASE_FIXTURE(LivingZone,
-                  "a busy fleet that starts has enough within 10 s") {
-  // 81 hosts that need half of what they have: all must carry.
+TEST_CASE_FIXTURE(SimulatedZone,
+                  "a busy fleet has enough entry hosts 10 s after a start") {
+  // 81 hosts at half of their capacity: all that are allowed must serve.
   add(81, 1000);
   start();
   run(Seconds(10), 81 * 500);
-  CHECK(count() == Most);
+  CHECK(count() == MaxHosts);
 }
--- a/tests/correctness/DaemonStartsWhenItCanAnswer.cpp
+++ b/tests/correctness/DaemonStartsWhenItCanAnswer.cpp
@@ -1,5 +1,5 @@
-// A daemon is ready only with a configuration that is confirmed as the newest
-// and a settled picture of the fleet, and says what it still waits for.
+// A daemon becomes ready only with a confirmed configuration and a settled view
+// of the fleet, and reports what it is still waiting for.
 #include "shallotshift/fleet.h"
 
 #include <doctest/doctest.h>
@@ -29,11 +29,11 @@
 
 } // namespace
 
-TEST_CASE("a daemon that nobody answers says so and serves nothing") {
+TEST_CASE("without any answer a daemon reports it and serves nothing") {
   CHECK(whyStarting({}) == "neither the platform nor any peer has answered");
 }
 
-TEST_CASE("a configuration is not enough") {
+TEST_CASE("a configuration alone does not make a daemon ready") {
   LifecycleFacts Facts;
   Facts.ConfigInstalled = true;
   Facts.PeersKnown = Facts.PeersHeard = 5;
@@ -47,7 +47,7 @@
   CHECK(whyStarting(Facts).find("newer") != std::string::npos);
 }
 
-TEST_CASE("all known peers are enough when they are fewer than two") {
+TEST_CASE("all known peers suffice if there are fewer than two") {
   LifecycleFacts Facts;
   Facts.ConfigInstalled = Facts.ViewSettled = true;
   Facts.PeersKnown = Facts.PeersHeard = Facts.PeersConfirm = 1;
--- a/tests/correctness/EntryAddressesAreSpread.cpp
+++ b/tests/correctness/EntryAddressesAreSpread.cpp
@@ -1,5 +1,5 @@
-// Where callers connect: near, spread, stable, never a member that takes no
-// new work, and evenly on the survivors when a zone goes.
+// Entry addresses are near the caller, evenly spread and stable, name no member
+// that takes no new work, and spread evenly over the rest when a zone fails.
 #include "shallotshift/fleet.h"
 
 #include <doctest/doctest.h>
@@ -37,9 +37,9 @@
 
 std::string caller(int N) { return "caller-" + std::to_string(N); }
 
-/// Most callers at one member, divided by the mean, counting address Place.
-double unevenness(const FleetView &View, const AvailabilityZone &Zone,
-                  std::size_t Place, std::size_t Members) {
+/// Maximum number of callers per member divided by the mean, for one address.
+double maxToMeanRatio(const FleetView &View, const AvailabilityZone &Zone,
+                      std::size_t Place, std::size_t Members) {
   std::map<DaemonId, int> Load;
   EntryDirectory D = directory();
   for (int C = 0; C < Callers; ++C)
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("near first, and the last address in another zone") {
+TEST_CASE("near members first, and the last address in another zone") {
   FleetView View = fleet(12, 3, 1);
   EntryAnswer A = directory().answer(View, "x", AvailabilityZone("z1"));
   REQUIRE(A.Addresses.size() == 3);
@@ -79,34 +79,34 @@
   CHECK(directory().answer(View, "x", {}).Addresses.empty());
 }
 
-TEST_CASE("a caller keeps its addresses when another member goes") {
+TEST_CASE("a caller keeps its addresses when another member fails") {
   FleetView View = fleet(30, 3, 1);
   EntryDirectory D = directory();
-  FleetView Less = View;
-  Less.Members[7].State = MemberState::Failed;
+  FleetView Without = View;
+  Without.Members[7].State = MemberState::Failed;
   int Moved = 0;
   for (int C = 0; C < 3000; ++C) {
     auto Before = D.answer(View, caller(C), {}).Addresses[0].Id;
-    auto After = D.answer(Less, caller(C), {}).Addresses[0].Id;
-    CHECK((Before == After || Before == Less.Members[7].Id));
+    auto After = D.answer(Without, caller(C), {}).Addresses[0].Id;
+    CHECK((Before == After || Before == Without.Members[7].Id));
     Moved += Before != After;
   }
   CHECK(Moved > 50);
   CHECK(Moved < 150); // One in thirty.
 }
 
-TEST_CASE("callers are spread evenly, in a zone and over a lost zone") {
+TEST_CASE("callers are spread evenly within a zone and after its failure") {
   FleetView View = fleet(30, 3, 1);
-  CHECK(unevenness(View, AvailabilityZone("z1"), 0, 10) < 1.1);
-  // At once, without asking, by their last address.
-  CHECK(unevenness(View, AvailabilityZone("z1"), 2, 20) < 1.15);
+  CHECK(maxToMeanRatio(View, AvailabilityZone("z1"), 0, 10) < 1.1);
+  // Fail-over to the last address, without asking again.
+  CHECK(maxToMeanRatio(View, AvailabilityZone("z1"), 2, 20) < 1.15);
   for (Member &M : View.Members)
     if (M.Zone.str() == "z1")
       M.State = MemberState::Failed;
-  CHECK(unevenness(View, AvailabilityZone("z1"), 0, 20) < 1.15);
+  CHECK(maxToMeanRatio(View, AvailabilityZone("z1"), 0, 20) < 1.15);
 }
 
-TEST_CASE("callers of a lost zone stay in their region while it has members") {
+TEST_CASE("callers of a failed zone stay in their region if it has members") {
   FleetView View = fleet(60, 6, 2);
   for (Member &M : View.Members)
     if (M.Zone.str() == "z1")
@@ -117,7 +117,7 @@
       CHECK(A.Why == "same region");
 }
 
-TEST_CASE("validity differs by caller, within a quarter, and is stable") {
+TEST_CASE("validity varies by caller within a quarter and is stable") {
   FleetView View = fleet(6, 3, 1);
   EntryDirectory D = directory();
   std::set<std::int64_t> Different;
--- a/tests/correctness/GossipFitsItsEstimate.cpp
+++ b/tests/correctness/GossipFitsItsEstimate.cpp
@@ -1,6 +1,6 @@
-// The membership machine fills datagrams by an estimate of their size. Were it
-// too low, datagrams would be cut into fragments or not sent at all, and only
-// when there is much news.
+// Datagrams are filled by an estimate of their encoded size. If it were too
+// low, datagrams would be fragmented or not sent at all, but only while many
+// updates are queued.
 #include "FleetBag.h"
 #include "shallotshift/peer.h"
 
@@ -9,7 +9,7 @@
 using namespace shallot;
 using namespace shallot::test;
 
-TEST_CASE("no datagram is larger than estimated, and none loses anything") {
+TEST_CASE("no datagram exceeds its estimate or loses anything") {
   FleetBag Bag(40, 12);
   Bag.startAll();
   Bag.Faults.Loss = 0.2;
@@ -35,7 +35,7 @@
   CHECK(Largest > 1000);
 }
 
-TEST_CASE("an update of the longest names fits its estimate") {
+TEST_CASE("an update with the longest names fits its estimate") {
   GossipMessage M;
   M.Kind = GossipKind::SyncRequest;
   M.Digests.assign(GossipBuckets, 7);
--- a/tests/correctness/MembersConverge.cpp
+++ b/tests/correctness/MembersConverge.cpp
@@ -1,5 +1,5 @@
-// Whatever was lost, delayed, repeated, paused, crashed and restarted before:
-// soon after the faults stop, all daemons show the same members.
+// All daemons must converge to the same members soon after faults end, whatever
+// loss, delay, duplication, pauses, crashes and restarts came before.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// The bound in mean probe periods of 750 ms; a failed member needs about ten
-/// of them, a daemon made slow by faults several times as many.
+/// 80 mean probe periods of 750 ms. Detecting a failed member takes about ten,
+/// a daemon that was slowed down by faults several times as many.
 constexpr Duration Bound = 80 * Millis(750);
 
 void randomFault(FleetBag &Bag) {
@@ -40,7 +40,7 @@
   for (std::size_t N = 0; N < Bag.Nodes.size(); ++N) {
     Bag.Nodes[N].PausedUntil = Instant();
     if (!Bag.up(N) && N < 3)
-      Bag.start(N); // The seeds; others may stay away.
+      Bag.start(N); // The seeds; other members may stay down.
   }
 }
 
@@ -65,7 +65,7 @@
   }
 }
 
-TEST_CASE("facts merge to the same whatever their order and repetition") {
+TEST_CASE("merging updates is independent of order and repetition") {
   Random Rng(5);
   std::vector<MemberUpdate> Facts;
   for (std::uint64_t Incarnation : {1, 2})
@@ -83,11 +83,11 @@
   FleetBag Bag(1, 1);
   for (int Round = 0; Round < 200; ++Round) {
     Bag.start(0);
-    std::vector<MemberUpdate> Mixed = Facts;
-    Mixed.insert(Mixed.end(), Facts.begin(), Facts.end());
-    for (std::size_t N = Mixed.size(); N > 1; --N)
-      std::swap(Mixed[N - 1], Mixed[below(Rng, N)]);
-    for (const MemberUpdate &U : Mixed) {
+    std::vector<MemberUpdate> Shuffled = Facts;
+    Shuffled.insert(Shuffled.end(), Facts.begin(), Facts.end());
+    for (std::size_t N = Shuffled.size(); N > 1; --N)
+      std::swap(Shuffled[N - 1], Shuffled[below(Rng, N)]);
+    for (const MemberUpdate &U : Shuffled) {
       GossipMessage M;
       M.Sender.Who = Bag.member(0);
       M.Sender.Who.Id = {HostId("other"), 1};
@@ -101,7 +101,8 @@
   }
 }
 
-TEST_CASE("an announcement tells the named peers the configuration at once") {
+TEST_CASE(
+    "an announcement sends the configuration to the named peers at once") {
   FleetBag Bag(4, 1);
   Bag.startMet();
   Membership &M = *Bag.Nodes[0].Machine;
--- a/tests/error/GossipIsChecked.cpp
+++ b/tests/error/GossipIsChecked.cpp
@@ -1,5 +1,5 @@
-// Datagrams come from anywhere: a message that no member would send is refused
-// with a text, and changes nothing.
+// Datagrams may come from anyone: a message that no member would send is
+// rejected with an error and changes nothing.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a message out of bounds is refused and ignored") {
+TEST_CASE("an invalid message is rejected and ignored") {
   FleetBag Bag(3, 1);
   Bag.startMet();
   GossipMessage Good;
@@ -48,7 +48,7 @@
   CHECK(Bag.at(0).view() == Before);
 }
 
-TEST_CASE("every datagram stays within its bound, also with long names") {
+TEST_CASE("every datagram stays within its size limit, also with long names") {
   FleetBag Bag(30, 1);
   Bag.startAll();
   for (std::size_t N = 0; N < 30; ++N) {
@@ -68,7 +68,7 @@
   CHECK(Largest <= MaxGossipBytes);
 }
 
-TEST_CASE("options out of range name what is wrong") {
+TEST_CASE("an error for an invalid option names the values") {
   FleetBag Bag(1, 1);
   MembershipOptions Options;
   Options.MaxPeriod = Millis(10);
--- a/tests/failure/BusyMachineAccusesNobody.cpp
+++ b/tests/failure/BusyMachineAccusesNobody.cpp
@@ -1,7 +1,7 @@
-// A busy machine: every datagram and every tick waits up to 300 ms for the
-// processor, on all daemons. Nothing is lost, so nobody may be thought failed;
-// callers would be sent away from daemons that serve. The round trips seen,
-// the time to refute and the local health keep accusations back.
+// Guards against false failures under CPU contention, which would send callers
+// away from daemons that serve. Every datagram and every tick is delayed by up
+// to 300 ms on all daemons, without loss. Timeouts adapted to round trips, the
+// suspicion timeout and local health must prevent accusations.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -21,10 +21,10 @@
   }
 }
 
-TEST_CASE("one daemon in six too slow to answer in time is not failed") {
+TEST_CASE("one slow daemon of six is not failed") {
   FleetBag Bag(6, 4);
   Bag.startMet();
-  // Stops for a second in each two: shorter than any time to refute.
+  // Stops for one of every two seconds, less than the suspicion timeout.
   for (int Round = 0; Round < 150; ++Round) {
     Bag.pause(2, Seconds(1));
     Bag.run(Seconds(2));
@@ -32,7 +32,7 @@
   CHECK(Bag.countEvents(MembershipEventKind::Failed) == 0);
 }
 
-TEST_CASE("one datagram in ten lost: nobody is failed") {
+TEST_CASE("nobody is failed with 10% packet loss") {
   for (std::size_t Members : {6, 40}) {
     CAPTURE(Members);
     FleetBag Bag(Members, 3);
--- a/tests/failure/FailedMemberIsNoticed.cpp
+++ b/tests/failure/FailedMemberIsNoticed.cpp
@@ -1,7 +1,7 @@
-// A host dies without a word. Callers that hold its address go to their next
-// one; new callers must not get it. Its probes go unanswered, helpers do not
-// reach it either, it is suspected, and after the time to refute each daemon
-// by itself marks it Failed.
+// A host crashes without notice. New callers must not be sent to it; those that
+// cached its address use their next one. Direct and indirect probes go
+// unanswered, it is suspected, and every daemon marks it Failed on its own
+// after the suspicion timeout.
 #include "FleetBag.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 using namespace shallot;
 using namespace shallot::test;
 
-TEST_CASE("a dead member is Failed everywhere within seconds") {
+TEST_CASE("a crashed member is Failed everywhere within seconds") {
   for (const auto &Case : {std::pair(6, 7), std::pair(48, 11)}) {
     int Members = Case.first;
     int WorstSeconds = Case.second;
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("the log tells who was thought failed, by whom, on what evidence") {
+TEST_CASE("events name the suspect, the accuser and the evidence") {
   FleetBag Bag(6, 2);
   Bag.startMet();
   Bag.crash(4);
@@ -48,7 +48,7 @@
   CHECK(eventName(First->Event.Kind) == "member_suspected");
 }
 
-TEST_CASE("a rack of a quarter of the members dies at once") {
+TEST_CASE("a quarter of the members crash at once") {
   FleetBag Bag(40, 9);
   Bag.startMet();
   Bag.run(Seconds(5));
@@ -58,7 +58,7 @@
   CHECK(Bag.countEvents(MembershipEventKind::Failed) == 300);
 }
 
-TEST_CASE("a tombstone runs out and does not come back") {
+TEST_CASE("a tombstone expires and does not come back") {
   MembershipOptions Options;
   Options.TombstoneTime = Seconds(30);
   FleetBag Bag(6, 2, Options);
--- a/tests/failure/HostListLags.cpp
+++ b/tests/failure/HostListLags.cpp
@@ -1,6 +1,6 @@
-// The platform's host list is late: it names hosts that are dead, misses hosts
-// that serve, and calls a host leaving that was replaced long ago. Callers must
-// still be sent to daemons that answer, and not to leaving ones.
+// The platform's host list lags: it lists dead hosts, omits hosts that serve,
+// and marks hosts as leaving that were replaced long ago. Callers must still be
+// sent to daemons that answer and not to those that are leaving.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("a member that answers stays, whatever the list says or omits") {
+TEST_CASE("a member that answers stays, whatever the list contains") {
   FleetBag Bag(6, 3);
   Bag.startMet();
   Bag.Nodes[0].Machine->onHostList({listed(Bag, 5)}, Bag.Now);
@@ -25,7 +25,7 @@
   CHECK(Bag.agreed());
 }
 
-TEST_CASE("the list's word leaving holds for the run that is known") {
+TEST_CASE("a listed leaving state applies to the known incarnation only") {
   FleetBag Bag(6, 3);
   Bag.startMet();
   MembershipOutput Out =
@@ -35,12 +35,12 @@
   CHECK(Out.Events[0].Evidence == "the platform's host list");
   CHECK(Bag.seen(0, 4) == MemberState::Leaving);
   Bag.crash(4);
-  Bag.start(4); // Replaced; the list still says leaving.
+  Bag.start(4); // Replaced; the list still marks it as leaving.
   Bag.run(Seconds(5));
   CHECK(Bag.seen(0, 4) == MemberState::Alive);
 }
 
-TEST_CASE("a daemon without seeds finds the fleet by the list") {
+TEST_CASE("a daemon without seeds joins the fleet through the host list") {
   FleetBag Bag(6, 3);
   Bag.startMet();
   Bag.crash(5);
@@ -51,7 +51,7 @@
   });
   Bag.Nodes[5].Machine.emplace(std::move(Alone.value()));
   Bag.run(Seconds(5));
-  CHECK(Bag.at(5).settled(Bag.Now)); // Alone, as far as it can know.
+  CHECK(Bag.at(5).settled(Bag.Now)); // It knows of no other members.
   Bag.Nodes[5].Machine->onHostList({listed(Bag, 1), listed(Bag, 5)}, Bag.Now);
   Bag.run(Seconds(5));
   CHECK(Bag.agreed());
--- a/tests/failure/LargeFleetStartsTogether.cpp
+++ b/tests/failure/LargeFleetStartsTogether.cpp
@@ -1,9 +1,9 @@
-// What callers see: after a power loss of everything they are sent to hosts
-// that few others know of, and the store is asked by half of the fleet. In what
-// order: all hosts of a large fleet start at one moment and ask the same three
-// seeds; those answer some and are silent to the rest; tables of members then
-// go round a few datagrams a second. Why it must hold: who carries callers and
-// who asks the store follows from the table of members.
+// Guards against slow convergence when all hosts of a large fleet start at
+// once, for example after a power loss. All of them ask the same three seeds.
+// If these answer only some, and tables then spread at a few datagrams per
+// second, callers are sent to hosts that few others know, and half of the fleet
+// asks the store: the entry hosts and the daemons that ask the store are
+// selected from the member table.
 #include "FleetBag.h"
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 
 constexpr std::size_t Hosts = 295;
 
-/// Members that the daemon in the middle knows.
-std::size_t middleKnows(const FleetBag &Bag) {
+/// Median number of members known to a daemon.
+std::size_t medianKnownMembers(const FleetBag &Bag) {
   std::vector<std::size_t> Known;
   for (std::size_t N = 0; N < Hosts; ++N)
     Known.push_back(Bag.at(N).view().Members.size());
@@ -27,29 +27,29 @@
 
 } // namespace
 
-TEST_CASE("a large fleet that starts at one moment knows itself in 4 s") {
+TEST_CASE("a large fleet that starts at once converges within 4 s") {
   for (std::uint64_t Seed : {1, 2, 3}) {
     FleetBag Bag(Hosts, Seed);
     Bag.startAll();
-    // The seeds answer everybody: before anyone asks the store, a quarter of a
-    // second after the start, most know of some others.
+    // The seeds answer everybody, so most daemons know some others 250 ms after
+    // the start, before any of them asks the store.
     Bag.run(Millis(250));
-    CHECK(middleKnows(Bag) >= 30);
+    CHECK(medianKnownMembers(Bag) >= 30);
     CHECK(Bag.untilAgreed(Seconds(20)) <= Millis(3750));
-    // Sixteen seconds' worth of what control may take of a link, 15 KB/s.
+    // 16 s at 15 KB/s, the share of a link that control traffic may use.
     CHECK(Bag.bytes() / Hosts <= 240'000);
   }
 }
 
-TEST_CASE("tables go round mostly within regions") {
-  // Links between regions are the dear ones; half of the hosts are in each.
+TEST_CASE("tables spread mostly within regions") {
+  // Links between regions are expensive; half of the hosts are in each region.
   FleetBag Bag(Hosts, 5);
   Bag.startAll();
   Bag.untilAgreed(Seconds(20));
   CHECK(double(Bag.farBytes()) <= 0.3 * double(Bag.bytes()));
 }
 
-TEST_CASE("a start costs the fleet nothing once it is over") {
+TEST_CASE("traffic returns to normal after a start") {
   FleetBag Bag(Hosts, 4);
   Bag.startAll();
   Bag.untilAgreed(Seconds(20));
--- a/tests/failure/PausedDaemonWaits.cpp
+++ b/tests/failure/PausedDaemonWaits.cpp
@@ -1,8 +1,7 @@
-// A daemon's machine stops for a while and goes on, unaware. The others gave
-// its slots and callers away. Before it does anything that others rely on it
-// has to know that it may be out of date: it refuses (StaleDaemon) until two
-// peers have answered questions put after the pause, and it accuses nobody for
-// a silence that was its own.
+// A daemon is suspended and resumes without noticing, while others reassigned
+// its slots and callers. It must refuse to act (StaleDaemon) until two peers
+// have answered requests sent after the pause, and must not accuse others of
+// the silence that it caused itself.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -10,17 +9,19 @@
 using namespace shallot;
 using namespace shallot::test;
 
-TEST_CASE("even before its first tick a woken daemon may not act") {
+TEST_CASE("a resumed daemon may not act even before its first tick") {
   FleetBag Bag(6, 8);
   Bag.startMet();
   Bag.run(Seconds(5));
   CHECK(Bag.at(2).mayAct(Bag.Now));
   CHECK(Bag.at(2).mayAct(Bag.Now + Millis(1400)));
   CHECK_FALSE(Bag.at(2).mayAct(Bag.Now + Seconds(2)));
-  CHECK(Bag.at(2).refusalReason(Bag.Now + Seconds(2)).find("did not run for 2") == 0);
+  CHECK(
+      Bag.at(2).refusalReason(Bag.Now + Seconds(2)).find("did not run for 2") ==
+      0);
 }
 
-TEST_CASE("it accuses nobody, is told that it was failed, and comes back") {
+TEST_CASE("it accuses nobody, learns that it was failed, and recovers") {
   FleetBag Bag(6, 8);
   Bag.startMet();
   Bag.run(Seconds(5));
@@ -37,7 +38,7 @@
   CHECK(Bag.at(2).mayAct(Bag.Now));
 }
 
-TEST_CASE("it shows itself as failed first, so that slots return as gained") {
+TEST_CASE("it shows itself as failed first, so that slots are gained again") {
   FleetBag Bag(6, 8);
   Bag.startMet();
   Bag.run(Seconds(5));
@@ -49,13 +50,13 @@
   CHECK(Bag.seen(2, 2) == MemberState::Alive);
 }
 
-TEST_CASE("answers to questions from before the pause prove nothing") {
+TEST_CASE("answers to requests from before the pause do not count") {
   FleetBag Bag(6, 8);
   Bag.startMet();
   Bag.run(Seconds(5));
   Bag.pause(2, Seconds(20));
   Bag.run(Seconds(19));
-  // From now on nothing reaches it but what lay in its socket.
+  // From now on it only receives what was queued in its socket.
   Bag.Faults.Cut = [](std::size_t A, std::size_t B) {
     return A == 2 || B == 2;
   };
@@ -63,7 +64,8 @@
   Bag.run(Seconds(3));
   CHECK(Bag.countEvents(MembershipEventKind::Paused) == 1);
   CHECK_FALSE(Bag.at(2).mayAct(Bag.Now));
-  CHECK(Bag.at(2).refusalReason(Bag.Now).find("0 of 2 peers") != std::string::npos);
+  CHECK(Bag.at(2).refusalReason(Bag.Now).find("0 of 2 peers") !=
+        std::string::npos);
   Bag.Faults.Cut = nullptr;
   Bag.run(Seconds(2));
   CHECK(Bag.at(2).mayAct(Bag.Now));
--- a/tests/failure/PlannedStopCutsNobody.cpp
+++ b/tests/failure/PlannedStopCutsNobody.cpp
@@ -1,6 +1,6 @@
-// An operator stops a daemon whose address callers have cached. They must be
-// served for as long as any of them may use it, then running requests are
-// finished, then the process goes; and all of it ends in a bounded time.
+// An operator stops a daemon whose address callers have cached. It must serve
+// them until every cached address has expired, then finish the requests in
+// flight and exit, all within a bounded time.
 #include "shallotshift/fleet.h"
 
 #include <doctest/doctest.h>
@@ -46,7 +46,7 @@
   CHECK(Out.Declare == MemberState::Left);
 }
 
-TEST_CASE("a request that never ends does not hold up the stop for ever") {
+TEST_CASE("a request that never ends does not block the stop forever") {
   Lifecycle L = readyDaemon();
   L.requestStop(Start);
   LifecycleFacts Busy;
@@ -66,7 +66,7 @@
   CHECK(Out.Why == "asked to stop a second time");
 }
 
-TEST_CASE("a daemon that was never ready goes at once") {
+TEST_CASE("a daemon that was never ready stops at once") {
   Lifecycle L = attempt([] { return Lifecycle::make({}, Start); }).value();
   CHECK(L.requestStop(Start).Now == Phase::Draining);
   CHECK(L.onTick({}, Start).Exit);
--- a/tests/failure/RestartReplacesOldSelf.cpp
+++ b/tests/failure/RestartReplacesOldSelf.cpp
@@ -1,6 +1,6 @@
-// A daemon is replaced faster than its death is noticed. What was said of the
-// old run, suspicions included, must not stick to the new one, and an old
-// process that is still there must notice that it was replaced and stop.
+// A daemon restarts before its failure is detected. Updates about the old
+// incarnation, including suspicions, must not apply to the new one, and an old
+// process that is still running must notice the new one and stop acting.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -8,11 +8,11 @@
 using namespace shallot;
 using namespace shallot::test;
 
-TEST_CASE("a quick restart is a new member in the place of the old") {
+TEST_CASE("a quick restart replaces the old incarnation") {
   FleetBag Bag(6, 3);
   Bag.startMet();
   Bag.crash(4);
-  Bag.run(Seconds(2)); // Suspected perhaps, not failed yet.
+  Bag.run(Seconds(2)); // It may be suspected, but is not Failed yet.
   Bag.start(4);
   CHECK(Bag.untilAgreed(Seconds(20)) < Seconds(5));
   Bag.run(Seconds(20));
@@ -20,7 +20,7 @@
   CHECK(Bag.countEvents(MembershipEventKind::Restarted) == 5);
 }
 
-TEST_CASE("an old run that hears of a later one may not act any more") {
+TEST_CASE("an old incarnation that learns of a later one may not act") {
   FleetBag Bag(3, 3);
   Bag.startMet();
   GossipMessage M;
--- a/tests/failure/SplitRegionsMeetAgain.cpp
+++ b/tests/failure/SplitRegionsMeetAgain.cpp
@@ -1,7 +1,7 @@
-// Two regions lose each other for an hour. Each holds the other for failed and
-// serves on alone. When they meet again, each side says of the whole other side
-// that it failed; nobody may be thrown out for that, and the messages to tell
-// it all stay bounded.
+// Two regions are partitioned for an hour, and each considers the other Failed.
+// When the partition heals, each side reports the other side as Failed. No
+// member may be marked Failed because of that, and the message rate must stay
+// bounded.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
@@ -13,19 +13,19 @@
 
 bool otherRegion(std::size_t A, std::size_t B) { return A % 2 != B % 2; }
 
-double busiestSecond(FleetBag &Bag, int ForSeconds) {
-  double Most = 0;
+double peakDatagramsPerMember(FleetBag &Bag, int ForSeconds) {
+  double Peak = 0;
   for (int S = 0; S < ForSeconds; ++S) {
     std::uint64_t Before = Bag.datagrams();
     Bag.run(Seconds(1));
-    Most = std::max(Most, static_cast<double>(Bag.datagrams() - Before));
+    Peak = std::max(Peak, static_cast<double>(Bag.datagrams() - Before));
   }
-  return Most / static_cast<double>(Bag.Nodes.size());
+  return Peak / static_cast<double>(Bag.Nodes.size());
 }
 
 } // namespace
 
-TEST_CASE("regions apart for an hour go on, and meet again without a storm") {
+TEST_CASE("regions merge after an hour without false failures or a burst") {
   FleetBag Bag(24, 6);
   Bag.startMet();
   Bag.run(Seconds(10));
@@ -37,8 +37,8 @@
   }
   Bag.Faults.Cut = nullptr;
   Bag.Events.clear();
-  double Most = busiestSecond(Bag, 30);
-  CHECK(Most < 25); // Datagrams a member; 2.7 at rest.
+  double Peak = peakDatagramsPerMember(Bag, 30);
+  CHECK(Peak < 25); // Datagrams per member and second; 2.7 at rest.
   CHECK(Bag.agreed());
   CHECK(Bag.countEvents(MembershipEventKind::Failed) == 0);
 }
--- a/tests/performance/BenchMembership.cpp
+++ b/tests/performance/BenchMembership.cpp
@@ -1,6 +1,6 @@
-// What the membership protocol costs and how fast it is, by running its state
-// machines with a bag of messages in virtual time, from 6 to 1,700 members.
-// Prints "name value unit bound" lines; "-" where nothing is judged. Sizes may
+// Measures cost and speed of the membership protocol by running its state
+// machines in simulated time with 6 to 1,700 members. Prints lines of the form
+// "name value unit bound", with "-" as the bound where there is none. Sizes may
 // be given as arguments.
 #include "FleetBag.h"
 #include "performance/BenchReport.h"
@@ -19,7 +19,7 @@
 
 double secondsOf(Duration D) { return toMillisF(D) / 1000; }
 
-/// Datagrams and bytes sent a member and second, and what a tick costs.
+/// Datagrams and bytes sent per member and second, and the CPU time of ticks.
 void measureRest(FleetBag &Bag, std::size_t Members) {
   constexpr double RunSeconds = 60;
   std::uint64_t Datagrams = Bag.datagrams();
@@ -37,13 +37,13 @@
   double MemberMicros =
       std::chrono::duration<double, std::micro>(Took).count() / MemberSeconds;
   Out.print("rest_cpu_with_bag", MemberMicros, "us/s");
-  std::size_t Most = 0;
+  std::size_t Max = 0;
   for (std::size_t N = 0; N < Members; ++N)
-    Most = std::max(Most, Bag.at(N).memoryBytes());
-  Out.atMost("memory", static_cast<double>(Most) / 1024, "KiB", 8192);
+    Max = std::max(Max, Bag.at(N).memoryBytes());
+  Out.atMost("memory", static_cast<double>(Max) / 1024, "KiB", 8192);
 }
 
-/// The time from a crash to Failed everywhere, over some crashes.
+/// Time from a crash until the member is Failed everywhere.
 void measureFailures(std::size_t Members, int Crashes) {
   FleetBag Bag(Members, 7);
   Bag.startMet();
@@ -84,8 +84,8 @@
              0);
 }
 
-/// The rate of an ordinary day (69 failures and 800 restarts) is one event in
-/// 99 s; here one in 10 s, ten times that, for two minutes.
+/// An ordinary day (69 failures and 800 restarts) has one event in 99 s. This
+/// runs one in 10 s, ten times that rate, for two minutes.
 void measureChurn(FleetBag &Bag, std::size_t Members) {
   constexpr int Events = 12;
   std::uint64_t Datagrams = Bag.datagrams();
@@ -107,13 +107,13 @@
 }
 
 struct Peak {
-  double Mean = 0; ///< Of all members, in the busiest second.
-  double Most = 0; ///< Of the busiest member in any second.
-  double MostBytes = 0;
+  double Mean = 0; ///< Mean over all members in the busiest second.
+  double Max = 0;  ///< Maximum of any member in any second.
+  double MaxBytes = 0;
 };
 
-Peak runWatched(FleetBag &Bag, int ForSeconds,
-                const std::function<bool()> &Stop = {}) {
+Peak measurePeak(FleetBag &Bag, int ForSeconds,
+                 const std::function<bool()> &Stop = {}) {
   Peak P;
   for (int S = 0; S < ForSeconds && !(Stop && Stop()); ++S) {
     std::vector<std::uint64_t> Datagrams;
@@ -128,37 +128,37 @@
                   static_cast<double>(Bag.Nodes.size());
     P.Mean = std::max(P.Mean, Mean);
     for (std::size_t N = 0; N < Bag.Nodes.size(); ++N) {
-      P.Most = std::max(
-          P.Most, static_cast<double>(Bag.Nodes[N].Datagrams - Datagrams[N]));
-      P.MostBytes = std::max(
-          P.MostBytes, static_cast<double>(Bag.Nodes[N].Bytes - Bytes[N]));
+      P.Max = std::max(
+          P.Max, static_cast<double>(Bag.Nodes[N].Datagrams - Datagrams[N]));
+      P.MaxBytes = std::max(P.MaxBytes,
+                            static_cast<double>(Bag.Nodes[N].Bytes - Bytes[N]));
     }
   }
   return P;
 }
 
-/// Half of the members loses the other half, and they meet again.
+/// Partitions the members into two halves, which then merge.
 void measureSplit(std::size_t Members, int SplitSeconds) {
   FleetBag Bag(Members, 11);
   Bag.startMet();
   Bag.run(Seconds(15));
   Bag.Faults.Cut = [](std::size_t A, std::size_t B) { return A % 2 != B % 2; };
-  Peak Apart = runWatched(Bag, SplitSeconds);
+  Peak Apart = measurePeak(Bag, SplitSeconds);
   Out.atMost("split_peak_mean", Apart.Mean, "datagrams/s", 25);
   Bag.Faults.Cut = nullptr;
   Bag.Events.clear();
   Instant Start = Bag.Now;
-  Peak Heal = runWatched(Bag, 120, [&] { return Bag.agreed(); });
+  Peak Heal = measurePeak(Bag, 120, [&] { return Bag.agreed(); });
   Out.atMost("heal_time", secondsOf(Bag.Now - Start), "s", 60);
   Out.atMost("heal_peak_mean", Heal.Mean, "datagrams/s", 25);
-  Out.atMost("heal_peak_one", Heal.Most, "datagrams/s", 120);
-  Out.print("heal_peak_one_bytes", Heal.MostBytes, "bytes/s");
+  Out.atMost("heal_peak_one", Heal.Max, "datagrams/s", 120);
+  Out.print("heal_peak_one_bytes", Heal.MaxBytes, "bytes/s");
   Out.atMost("heal_false_failures",
              static_cast<double>(Bag.countEvents(MembershipEventKind::Failed)),
              "events", 0);
 }
 
-/// A daemon that starts with three seeds and has to learn of all others.
+/// A daemon with three seeds starts and has to learn of all other members.
 void measureJoin(FleetBag &Bag, std::size_t Members) {
   Bag.crash(Members - 1);
   Bag.run(Seconds(2));
@@ -210,7 +210,7 @@
 void measure(std::size_t Members) {
   FleetBag Bag(Members, 5);
   Bag.startMet();
-  // The news of the start has to die down.
+  // Wait until the updates of the start have been spread.
   Bag.run(Seconds(100));
   measureRest(Bag, Members);
   measureJoin(Bag, Members);
@@ -218,7 +218,8 @@
   measureAnswer(Bag);
   measureEntry(Bag);
   measureFailures(Members, Members > 500 ? 8 : 30);
-  // An hour, but for the largest sizes, which only repeat their last minutes.
+  // An hour, except for the largest sizes: a long partition only repeats its
+  // last minutes.
   measureSplit(Members, Members > 100 ? 120 : 3600);
 }
 
