--- a/packages/fleet/CarrierChoice.cpp
+++ b/packages/fleet/CarrierChoice.cpp
@@ -32,17 +32,17 @@
 /// The load of the zone's callers in millicores. A host of the initial set that
 /// has not announced a load counts as used up to TargetUtilization.
 double zoneLoad(const Hosts &Sorted, const Hosts &Zone) {
-  double Here = 0;
-  double Lost = 0;
+  double LiveLoad = 0;
+  double FailedLoad = 0;
   for (const Member *M : Zone)
-    (isGone(M) ? Lost : Here) += M->Load;
+    (isGone(M) ? FailedLoad : LiveLoad) += M->Load;
   std::size_t Initial = initialHostCount(Sorted);
   for (std::size_t I = 0; I < Initial; ++I)
     if (Sorted[I]->Load == 0)
-      Here += TargetUtilization * capacity(Sorted[I]);
+      LiveLoad += TargetUtilization * capacity(Sorted[I]);
   // The callers of failed hosts move to the remaining ones, which announce that
   // load within seconds. Adding both would count these callers twice.
-  return std::max(Here, Lost);
+  return std::max(LiveLoad, FailedLoad);
 }
 
 /// Usable capacity of the first \p Count of \p Sorted, with equal shares.
--- a/packages/fleet/MemberTable.cpp
+++ b/packages/fleet/MemberTable.cpp
@@ -14,8 +14,8 @@
 }
 
 void clearSuspicion(MemberRecord &R) {
-  R.Fact.ObservedHealth = Health::Trusted;
-  R.Fact.Accuser = HostId();
+  R.Update.ObservedHealth = Health::Trusted;
+  R.Update.Accuser = HostId();
   R.Accusers.clear();
 }
 
@@ -30,17 +30,17 @@
 } // namespace
 
 MemberState visibleState(const MemberRecord &R) {
-  MemberState Declared = R.Fact.Who.State;
-  if (Declared == MemberState::Left)
+  MemberState Announced = R.Update.Who.State;
+  if (Announced == MemberState::Left)
     return MemberState::Left;
-  if (R.Fact.ObservedHealth == Health::Failed)
+  if (R.Update.ObservedHealth == Health::Failed)
     return MemberState::Failed;
-  if (Declared == MemberState::Leaving || R.ListedLeaving)
+  if (Announced == MemberState::Leaving || R.ListedLeaving)
     return MemberState::Leaving;
-  if (Declared == MemberState::Alive &&
-      R.Fact.ObservedHealth == Health::Suspect)
+  if (Announced == MemberState::Alive &&
+      R.Update.ObservedHealth == Health::Suspect)
     return MemberState::Suspect;
-  return Declared;
+  return Announced;
 }
 
 bool isLive(const MemberRecord &R) {
@@ -61,12 +61,12 @@
   return It == Records.end() ? nullptr : &It->second;
 }
 
-RecordBefore MemberTable::before(const HostId &Host) const {
+RecordSummary MemberTable::before(const HostId &Host) const {
   const MemberRecord *R = find(Host);
   if (!R)
     return {};
-  return {true, R->Fact.Who.Id.Incarnation, R->Fact.Who.State, visibleState(*R),
-          R->Fact.ObservedHealth};
+  return {true, R->Update.Who.Id.Incarnation, R->Update.Who.State,
+          visibleState(*R), R->Update.ObservedHealth};
 }
 
 MergeResult MemberTable::merge(const MemberUpdate &U, Instant Now) {
@@ -74,10 +74,10 @@
   if (It == Records.end())
     return insert(U, Now);
   MemberRecord &R = It->second;
-  if (isOlder(U, R.Fact))
+  if (isOlder(U, R.Update))
     return MergeResult::Ignored;
-  DaemonId OldId = R.Fact.Who.Id;
-  if (isOlder(R.Fact, U)) {
+  DaemonId OldId = R.Update.Who.Id;
+  if (isOlder(R.Update, U)) {
     MergeResult Merged = applyNewer(R, U, Now);
     commit(R, OldId, Now);
     return Merged;
@@ -99,7 +99,7 @@
   if (Records.size() >= MaxMembers)
     return MergeResult::AtCapacity;
   MemberRecord &R = Records[U.Who.Id.Host];
-  R.Fact = U;
+  R.Update = U;
   R.HeardAt = Now;
   clearSuspicion(R);
   if (U.ObservedHealth == Health::Suspect)
@@ -110,13 +110,13 @@
 
 MergeResult MemberTable::applyNewer(MemberRecord &R, const MemberUpdate &U,
                                     Instant Now) {
-  bool WasFailed = R.Fact.ObservedHealth == Health::Failed;
-  bool NewRun = R.Fact.Who.Id != U.Who.Id;
+  bool WasFailed = R.Update.ObservedHealth == Health::Failed;
+  bool NewRun = R.Update.Who.Id != U.Who.Id;
   bool BecameAlive =
       U.Who.State == MemberState::Alive &&
-      (NewRun || WasFailed || R.Fact.Who.State != MemberState::Alive);
-  R.Fact.Who = U.Who;
-  R.Fact.Version = U.Version;
+      (NewRun || WasFailed || R.Update.Who.State != MemberState::Alive);
+  R.Update.Who = U.Who;
+  R.Update.Version = U.Version;
   if (NewRun)
     R.ListedLeaving = false;
   if (BecameAlive)
@@ -139,13 +139,13 @@
 /// refutes.
 MergeResult MemberTable::addAccusation(MemberRecord &R, const MemberUpdate &U,
                                        Instant Now) {
-  if (R.Fact.ObservedHealth == Health::Failed ||
-      R.Fact.Who.State == MemberState::Left)
+  if (R.Update.ObservedHealth == Health::Failed ||
+      R.Update.Who.State == MemberState::Left)
     return MergeResult::Ignored;
-  if (R.Fact.ObservedHealth == Health::Trusted &&
+  if (R.Update.ObservedHealth == Health::Trusted &&
       U.ObservedHealth == Health::Failed)
     return MergeResult::NeedsProbe;
-  if (R.Fact.ObservedHealth == Health::Trusted) {
+  if (R.Update.ObservedHealth == Health::Trusted) {
     R.SuspectedAt = Now;
     R.Probed = false;
   }
@@ -154,24 +154,24 @@
   if (Heard || R.Accusers.size() >= MaxAccusers)
     return MergeResult::Ignored;
   R.Accusers.push_back(Accuser);
-  R.Fact.ObservedHealth = Health::Suspect;
-  R.Fact.Accuser = Accuser;
+  R.Update.ObservedHealth = Health::Suspect;
+  R.Update.Accuser = Accuser;
   return MergeResult::Updated;
 }
 
 void MemberTable::setSelf(const MemberUpdate &Self, Instant Now) {
   MemberRecord &R = Records[Self.Who.Id.Host];
-  bool WasAlive = R.Fact.Who.State == MemberState::Alive;
+  bool WasAlive = R.Update.Who.State == MemberState::Alive;
   if (!WasAlive && Self.Who.State == MemberState::Alive)
     R.AliveSince = Now;
-  R.Fact = Self;
+  R.Update = Self;
   commit(R, Self.Who.Id, Now);
 }
 
 void MemberTable::showSelfFailed(const HostId &Self, bool Failed) {
   SelfShownFailed = Failed ? std::optional(Self) : std::nullopt;
   const MemberRecord &R = Records.at(Self);
-  updateView(R, R.Fact.Who.Id);
+  updateView(R, R.Update.Who.Id);
 }
 
 void MemberTable::setListedLeaving(const HostId &Host, bool Leaving) {
@@ -179,12 +179,12 @@
   if (It == Records.end() || It->second.ListedLeaving == Leaving)
     return;
   It->second.ListedLeaving = Leaving;
-  updateView(It->second, It->second.Fact.Who.Id);
+  updateView(It->second, It->second.Update.Who.Id);
 }
 
-void MemberTable::recordHeard(const GossipMessage &M, Instant Now) {
+void MemberTable::recordContact(const GossipMessage &M, Instant Now) {
   auto It = Records.find(M.Sender.Who.Id.Host);
-  if (It == Records.end() || It->second.Fact.Who.Id != M.Sender.Who.Id)
+  if (It == Records.end() || It->second.Update.Who.Id != M.Sender.Who.Id)
     return;
   MemberRecord &R = It->second;
   R.HeardAt = Now;
@@ -199,9 +199,9 @@
 void MemberTable::setFailed(const HostId &Host, const HostId &Accuser,
                             Instant Now) {
   MemberRecord &R = Records.at(Host);
-  R.Fact.ObservedHealth = Health::Failed;
-  R.Fact.Accuser = Accuser;
-  commit(R, R.Fact.Who.Id, Now);
+  R.Update.ObservedHealth = Health::Failed;
+  R.Update.Accuser = Accuser;
+  commit(R, R.Update.Who.Id, Now);
 }
 
 void MemberTable::delaySuspicions(Duration By) {
@@ -211,25 +211,25 @@
 
 void MemberTable::forget(const HostId &Host) {
   auto It = Records.find(Host);
-  DaemonId Id = It->second.Fact.Who.Id;
+  DaemonId Id = It->second.Update.Who.Id;
   auto Visible = std::ranges::lower_bound(View.Members, Id, {}, &Member::Id);
   View.Members.erase(Visible);
   ++View.Number;
-  Dead.erase(Host);
+  Tombstones.erase(Host);
   Records.erase(It);
 }
 
 void MemberTable::commit(MemberRecord &R, const DaemonId &OldId, Instant Now) {
-  const HostId &Host = R.Fact.Who.Id.Host;
-  if (R.Fact.ObservedHealth == Health::Suspect)
+  const HostId &Host = R.Update.Who.Id.Host;
+  if (R.Update.ObservedHealth == Health::Suspect)
     Suspects.insert(Host);
   else
     Suspects.erase(Host);
   if (isLive(R))
-    Dead.erase(Host);
-  else if (Dead.insert(Host).second)
+    Tombstones.erase(Host);
+  else if (Tombstones.insert(Host).second)
     R.DeadSince = Now;
-  if (OldId != R.Fact.Who.Id)
+  if (OldId != R.Update.Who.Id)
     R.ConfigGeneration = R.ConfigHead = 0;
   R.Revisions = {};
   addToDigest(R);
@@ -239,14 +239,14 @@
 /// Tombstones and suspicions are excluded: they expire and arrive at different
 /// times on different daemons, so every comparison would find differences.
 void MemberTable::addToDigest(MemberRecord &R) {
-  std::uint32_t &Bucket = Digest[bucketOf(R.Fact.Who.Id.Host)];
+  std::uint32_t &Bucket = Digest[bucketOf(R.Update.Who.Id.Host)];
   Bucket ^= R.Digest;
-  R.Digest = isLive(R) ? digestOf(R.Fact) : 0;
+  R.Digest = isLive(R) ? digestOf(R.Update) : 0;
   Bucket ^= R.Digest;
 }
 
 void MemberTable::updateView(const MemberRecord &R, const DaemonId &OldId) {
-  Member Now = R.Fact.Who;
+  Member Now = R.Update.Who;
   Now.State =
       SelfShownFailed == Now.Id.Host ? MemberState::Failed : visibleState(R);
   auto Old = std::lower_bound(View.Members.begin(), View.Members.end(), OldId,
--- a/packages/fleet/MemberTable.h
+++ b/packages/fleet/MemberTable.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t MaxAccusers = 4;
 
 struct MemberRecord {
-  MemberUpdate Fact;
+  MemberUpdate Update;
   /// The host list marks this incarnation as leaving.
   bool ListedLeaving = false;
   std::vector<HostId> Accusers; ///< Empty unless Suspect.
@@ -47,10 +47,10 @@
 bool isLive(const MemberRecord &R);
 
 /// A summary of a record before a change, to derive events from.
-struct RecordBefore {
+struct RecordSummary {
   bool Known = false;
   std::uint64_t Incarnation = 0;
-  MemberState Declared = MemberState::Starting;
+  MemberState Announced = MemberState::Starting;
   MemberState Visible = MemberState::Starting;
   Health ObservedHealth = Health::Trusted;
 };
@@ -72,12 +72,12 @@
   const Digests &digests() const { return Digest; }
   const std::map<HostId, MemberRecord> &records() const { return Records; }
   const std::set<HostId> &suspects() const { return Suspects; }
-  const std::set<HostId> &tombstones() const { return Dead; }
+  const std::set<HostId> &tombstones() const { return Tombstones; }
   /// Number of live members, including this daemon.
-  std::size_t live() const { return Records.size() - Dead.size(); }
+  std::size_t live() const { return Records.size() - Tombstones.size(); }
 
   const MemberRecord *find(const HostId &Host) const;
-  RecordBefore before(const HostId &Host) const;
+  RecordSummary before(const HostId &Host) const;
 
   /// Merges an update about another member.
   MergeResult merge(const MemberUpdate &U, Instant Now);
@@ -86,7 +86,7 @@
   /// Sets whether the view shows this daemon as Failed.
   void showSelfFailed(const HostId &Self, bool Failed);
   void setListedLeaving(const HostId &Host, bool Leaving);
-  void recordHeard(const GossipMessage &M, Instant Now);
+  void recordContact(const GossipMessage &M, Instant Now);
   void setProbed(const HostId &Host) { Records.at(Host).Probed = true; }
   /// Marks a suspect that did not refute in time as Failed.
   void setFailed(const HostId &Host, const HostId &Accuser, Instant Now);
@@ -106,7 +106,7 @@
 
   std::map<HostId, MemberRecord> Records;
   std::set<HostId> Suspects;
-  std::set<HostId> Dead;
+  std::set<HostId> Tombstones;
   std::optional<HostId> SelfShownFailed;
   Digests Digest{};
   FleetView View;
--- a/packages/fleet/Membership.cpp
+++ b/packages/fleet/Membership.cpp
@@ -140,7 +140,7 @@
   I->detectPause(Now);
   for (const DaemonId &Peer : Peers)
     if (const internal::MemberRecord *R = I->Table.find(Peer.Host))
-      I->send(R->Fact.Who.Gossip, Peer, I->message(GossipKind::Notice, 0));
+      I->send(R->Update.Who.Gossip, Peer, I->message(GossipKind::Notice, 0));
   return I->take(Before);
 }
 
@@ -170,7 +170,7 @@
   std::vector<PeerConfig> Configs;
   for (const auto &[Host, R] : I->Table.records())
     if (internal::isLive(R) && Host != I->Self.Who.Id.Host)
-      Configs.push_back({R.Fact.Who.Id, R.ConfigGeneration, R.ConfigHead,
+      Configs.push_back({R.Update.Who.Id, R.ConfigGeneration, R.ConfigHead,
                          R.Revisions, R.HeardAt});
   return Configs;
 }
--- a/packages/fleet/MembershipNews.cpp
+++ b/packages/fleet/MembershipNews.cpp
@@ -98,7 +98,7 @@
     return;
   NextCatchUpAt = Now + Options.MinPeriod;
   for (const DaemonId &Peer : randomPeers(Options.IndirectProbes))
-    sendSyncRequest(Table.find(Peer.Host)->Fact.Who.Gossip, Peer, Now);
+    sendSyncRequest(Table.find(Peer.Host)->Update.Who.Gossip, Peer, Now);
   if (peersKnown() == 0 && SeedsTried)
     onFreshReply(HostId(), NextSequence, Now);
 }
@@ -174,7 +174,7 @@
   if (From == Self.Who.Id)
     return; // The seeds may include our own endpoint.
   applyUpdate(M.Sender, From.Host, Now);
-  Table.recordHeard(M, Now);
+  Table.recordContact(M, Now);
   for (const MemberUpdate &U : M.Updates)
     applyUpdate(U, From.Host, Now);
   switch (M.Kind) {
@@ -200,7 +200,7 @@
                                    Instant Now) {
   if (U.Who.Id.Host == Self.Who.Id.Host)
     return applyUpdateAboutSelf(U, From, Now);
-  RecordBefore Before = Table.before(U.Who.Id.Host);
+  RecordSummary Before = Table.before(U.Who.Id.Host);
   internal::MergeResult Merged = Table.merge(U, Now);
   if (Merged == internal::MergeResult::AtCapacity)
     emitEvent(MembershipEventKind::TableFull, U.Who.Id, From,
@@ -242,11 +242,11 @@
                   From.str(), Self.Version));
 }
 
-void Membership::Impl::emitChangeEvents(const RecordBefore &Before,
+void Membership::Impl::emitChangeEvents(const RecordSummary &Before,
                                         const MemberRecord &After,
                                         const HostId &From, Instant Now) {
   using Kind = MembershipEventKind;
-  const DaemonId &Who = After.Fact.Who.Id;
+  const DaemonId &Who = After.Update.Who.Id;
   std::string Origin = From == Who.Host
                            ? std::string("reported by the member itself")
                            : fmt::format("reported by {}", From.str());
@@ -264,21 +264,21 @@
   if (NewRun)
     emitEvent(Kind::Restarted, Who, From, Origin);
   else if (Before.ObservedHealth == Health::Failed &&
-           After.Fact.ObservedHealth != Health::Failed)
+           After.Update.ObservedHealth != Health::Failed)
     emitEvent(Kind::Recovered, Who, From, Origin);
   else if (Before.ObservedHealth == Health::Trusted &&
-           After.Fact.ObservedHealth == Health::Suspect)
-    emitEvent(Kind::Suspected, Who, After.Fact.Accuser, Origin);
+           After.Update.ObservedHealth == Health::Suspect)
+    emitEvent(Kind::Suspected, Who, After.Update.Accuser, Origin);
   else if (Before.ObservedHealth == Health::Suspect &&
-           After.Fact.ObservedHealth == Health::Trusted)
+           After.Update.ObservedHealth == Health::Trusted)
     emitEvent(Kind::Refuted, Who, From, Origin);
-  if (Before.Declared == After.Fact.Who.State && !NewRun)
+  if (Before.Announced == After.Update.Who.State && !NewRun)
     return;
-  if (After.Fact.Who.State == MemberState::Alive)
+  if (After.Update.Who.State == MemberState::Alive)
     emitEvent(Kind::Ready, Who, From, Origin);
-  if (After.Fact.Who.State == MemberState::Leaving)
+  if (After.Update.Who.State == MemberState::Leaving)
     emitEvent(Kind::Leaving, Who, From, Origin);
-  if (After.Fact.Who.State == MemberState::Left)
+  if (After.Update.Who.State == MemberState::Left)
     emitEvent(Kind::Left, Who, From, Origin);
 }
 
@@ -306,7 +306,7 @@
 
 void Membership::Impl::notify(std::size_t Peers) {
   for (const DaemonId &Peer : randomPeers(Peers))
-    send(Table.find(Peer.Host)->Fact.Who.Gossip, Peer,
+    send(Table.find(Peer.Host)->Update.Who.Gossip, Peer,
          message(GossipKind::Notice, 0));
 }
 
@@ -337,13 +337,13 @@
     return true;
   };
   const MemberRecord *R = Table.find(ToId.Host);
-  bool Outdated = R && ToId.Incarnation < R->Fact.Who.Id.Incarnation;
-  if (R && (R->Fact.ObservedHealth != Health::Trusted || Outdated))
-    Add(R->Fact);
+  bool Outdated = R && ToId.Incarnation < R->Update.Who.Id.Incarnation;
+  if (R && (R->Update.ObservedHealth != Health::Trusted || Outdated))
+    Add(R->Update);
   Broadcasts.transmit(transmitLimit(), [&](const HostId &Host) {
     const MemberRecord *Known = Table.find(Host);
     bool IsSelfOrReceiver = Host == Self.Who.Id.Host || Host == ToId.Host;
-    return !Known || IsSelfOrReceiver || Add(Known->Fact);
+    return !Known || IsSelfOrReceiver || Add(Known->Update);
   });
   Out.Sends.push_back({To, std::move(M)});
 }
@@ -361,7 +361,7 @@
 void Membership::Impl::ageBroadcasts() {
   Broadcasts.age(transmitLimit() / 3, transmitLimit(), [&](const HostId &Host) {
     const MemberRecord *R = Table.find(Host);
-    return R && R->Fact.ObservedHealth != Health::Trusted;
+    return R && R->Update.ObservedHealth != Health::Trusted;
   });
 }
 
--- a/packages/fleet/MembershipProbes.cpp
+++ b/packages/fleet/MembershipProbes.cpp
@@ -60,11 +60,11 @@
   if (Done.Helpers == 0 || Done.Nacks < Done.Helpers)
     worsenHealth();
   const MemberRecord *R = Table.find(Done.Target.Host);
-  bool Same = R && R->Fact.Who.Id == Done.Target &&
-              R->Fact.Version == Done.Version && isLive(*R);
+  bool Same = R && R->Update.Who.Id == Done.Target &&
+              R->Update.Version == Done.Version && isLive(*R);
   if (NeedsCatchUp || !Same || R->HeardAt > Done.SentAt)
     return;
-  MemberUpdate Accusation = R->Fact;
+  MemberUpdate Accusation = R->Update;
   Accusation.ObservedHealth = Health::Suspect;
   Accusation.Accuser = Self.Who.Id.Host;
   std::size_t EventsBefore = Out.Events.size();
@@ -83,10 +83,10 @@
   const MemberRecord *Target = nextTarget();
   if (!Target)
     return;
-  const Member &Who = Target->Fact.Who;
+  const Member &Who = Target->Update.Who;
   Duration MaxTimeout = fromMillisF(DirectProbeFraction * toMillisF(Period));
   Probe =
-      PendingProbe{Who.Id, Who.Gossip, Target->Fact.Version,
+      PendingProbe{Who.Id, Who.Gossip, Target->Update.Version,
                    0,      Now,        std::min(probeTimeout(), MaxTimeout)};
   Probe->Sequence = sendProbe(Probe->To, Probe->Target);
 }
@@ -108,7 +108,7 @@
     M.Target = Probe->Target;
     M.TargetGossip = Probe->To;
     ++Probe->Helpers;
-    send(Table.find(Helper.Host)->Fact.Who.Gossip, Helper, std::move(M));
+    send(Table.find(Helper.Host)->Update.Who.Gossip, Helper, std::move(M));
   }
 }
 
@@ -135,7 +135,7 @@
     return;
   GossipMessage Relay = message(GossipKind::Ack, It->RequesterSequence);
   Relay.Target = M.Sender.Who.Id;
-  Relay.Updates.push_back(Table.find(From)->Fact);
+  Relay.Updates.push_back(Table.find(From)->Update);
   send(It->Requester, It->RequesterId, std::move(Relay));
   HelperProbes.erase(It);
 }
@@ -186,14 +186,14 @@
       ToProbe = &R;
   }
   if (ToProbe)
-    probeSuspect(ToProbe->Fact.Who);
+    probeSuspect(ToProbe->Update.Who);
   for (const HostId &Host : Due) {
     const MemberRecord &R = *Table.find(Host);
     emitEvent(
-        MembershipEventKind::Failed, R.Fact.Who.Id, R.Fact.Accuser,
+        MembershipEventKind::Failed, R.Update.Who.Id, R.Update.Accuser,
         fmt::format("suspected by {} daemons, last {}; no refutation in {} "
                     "ms; last heard here {} ms ago",
-                    R.Accusers.size(), R.Fact.Accuser.str(),
+                    R.Accusers.size(), R.Update.Accuser.str(),
                     toMillis(Now - R.SuspectedAt), toMillis(Now - R.HeardAt)));
     Table.setFailed(Host, Self.Who.Id.Host, Now);
     Broadcasts.add(Host);
@@ -249,14 +249,14 @@
     NextTombstoneAt = Now + fromMillisF(Period * (0.5 + uniform01(Rng)));
     if (!Failed.empty()) {
       const MemberRecord &R = *Failed[below(Rng, Failed.size())];
-      sendProbe(R.Fact.Who.Gossip, R.Fact.Who.Id);
+      sendProbe(R.Update.Who.Gossip, R.Update.Who.Id);
     }
   }
   if (!Expiring)
     return;
   LastExpiryAt = Now;
   for (const HostId &Host : Old) {
-    emitEvent(MembershipEventKind::Forgotten, Table.find(Host)->Fact.Who.Id,
+    emitEvent(MembershipEventKind::Forgotten, Table.find(Host)->Update.Who.Id,
               HostId(), "not heard from until the tombstone expired");
     Broadcasts.remove(Host);
     Table.forget(Host);
@@ -299,7 +299,7 @@
 }
 
 void Membership::Impl::insertIntoOrder(const HostId &Host) {
-  if (!includeInRound(Table.find(Host)->Fact.Who.Reg, regionSizes()))
+  if (!includeInRound(Table.find(Host)->Update.Who.Reg, regionSizes()))
     return;
   std::size_t Left = Order.size() - NextInOrder;
   std::size_t At = NextInOrder + below(Rng, Left + 1);
@@ -335,7 +335,7 @@
   std::map<Region, std::size_t> Sizes;
   for (const auto &[Host, R] : Table.records())
     if (isLive(R))
-      ++Sizes[R.Fact.Who.Reg];
+      ++Sizes[R.Update.Who.Reg];
   return Sizes;
 }
 
@@ -367,7 +367,7 @@
     std::map<Region, std::size_t> Sizes = regionSizes();
     for (const auto &[Host, R] : Table.records())
       if (Host != Self.Who.Id.Host && isLive(R) &&
-          includeInRound(R.Fact.Who.Reg, Sizes))
+          includeInRound(R.Update.Who.Reg, Sizes))
         Order.push_back(Host);
     for (std::size_t N = Order.size(); N > 1; --N)
       std::swap(Order[N - 1], Order[below(Rng, N)]);
@@ -385,8 +385,8 @@
     const HostId &Host = Order[below(Rng, Order.size())];
     const MemberRecord *R = Table.find(Host);
     bool Usable = R && isLive(*R) && Host != Except;
-    if (Usable && std::ranges::find(Peers, R->Fact.Who.Id) == Peers.end())
-      Peers.push_back(R->Fact.Who.Id);
+    if (Usable && std::ranges::find(Peers, R->Update.Who.Id) == Peers.end())
+      Peers.push_back(R->Update.Who.Id);
   }
   return Peers;
 }
--- a/packages/fleet/MembershipState.h
+++ b/packages/fleet/MembershipState.h
@@ -58,7 +58,7 @@
 
 struct Membership::Impl {
   using MemberRecord = internal::MemberRecord;
-  using RecordBefore = internal::RecordBefore;
+  using RecordSummary = internal::RecordSummary;
 
   Impl(const MembershipOptions &Options, Member Self,
        std::vector<Endpoint> Seeds, std::uint64_t RandomSeed, Instant Now);
@@ -71,7 +71,7 @@
   void applyUpdate(const MemberUpdate &U, const HostId &From, Instant Now);
   void applyUpdateAboutSelf(const MemberUpdate &U, const HostId &From,
                             Instant Now);
-  void emitChangeEvents(const RecordBefore &Before, const MemberRecord &After,
+  void emitChangeEvents(const RecordSummary &Before, const MemberRecord &After,
                         const HostId &From, Instant Now);
   void emitEvent(MembershipEventKind Kind, const DaemonId &Who,
                  const HostId &By, std::string Evidence);
@@ -171,7 +171,7 @@
   TokenBucket SyncDatagrams;
   std::vector<internal::PendingSync> PendingSyncs;
   Instant NextSyncAt;
-  bool TablesEqual = false; ///< The last comparison found (almost) no change.
+  bool TablesEqual = false; ///< True if (almost) equal when last compared.
 
   // Seeds.
   std::vector<Endpoint> Seeds;
--- a/packages/fleet/MembershipSync.cpp
+++ b/packages/fleet/MembershipSync.cpp
@@ -44,7 +44,7 @@
   Duration Period = TablesEqual ? Options.SyncPeriod : meanPeriod();
   NextSyncAt = Now + fromMillisF(toMillisF(Period) * (0.5 + uniform01(Rng)));
   if (std::optional<DaemonId> Peer = syncPeer())
-    sendSyncRequest(Table.find(Peer->Host)->Fact.Who.Gossip, *Peer, Now);
+    sendSyncRequest(Table.find(Peer->Host)->Update.Who.Gossip, *Peer, Now);
 }
 
 /// Prefers members of the own region: what one of them has learned from another
@@ -54,7 +54,7 @@
   if (Peers.empty())
     return std::nullopt;
   auto SameRegion = [&](const DaemonId &Id) {
-    return Table.find(Id.Host)->Fact.Who.Reg == Self.Who.Reg;
+    return Table.find(Id.Host)->Update.Who.Reg == Self.Who.Reg;
   };
   auto Found = std::ranges::find_if(Peers, SameRegion);
   bool CrossRegion =
@@ -129,13 +129,13 @@
     if (!(Mask >> B & 1))
       continue;
     for (const MemberRecord *R : Parts[B]) {
-      std::size_t More = wireBytes(R->Fact);
+      std::size_t More = wireBytes(R->Update);
       if (Bytes + More > MaxGossipBytes && MaySend)
         Flush();
       if (!MaySend)
         return;
       Bytes += More;
-      M.Updates.push_back(R->Fact);
+      M.Updates.push_back(R->Update);
     }
   }
   bool MustReply = Kind == GossipKind::SyncReply && Mask == 0;
@@ -183,7 +183,7 @@
 
 bool Membership::Impl::isLiveMemberAt(const Endpoint &E) const {
   return std::ranges::any_of(Table.records(), [&](const auto &Entry) {
-    return Entry.second.Fact.Who.Gossip == E && isLive(Entry.second);
+    return Entry.second.Update.Who.Gossip == E && isLive(Entry.second);
   });
 }
 
@@ -214,7 +214,7 @@
     return;
   Table.setListedLeaving(Host, Leaving);
   if (Leaving)
-    emitEvent(MembershipEventKind::Leaving, R->Fact.Who.Id, HostId(),
+    emitEvent(MembershipEventKind::Leaving, R->Update.Who.Id, HostId(),
               "the platform's host list");
 }
 
