--- a/packages/fleet/MembershipState.h
+++ b/packages/fleet/MembershipState.h
@@ -1,7 +1,7 @@
 //===- MembershipState.h - Implementation of Membership ---------*- C++ -*-===//
 //
 // Internal to package fleet: the state behind Membership. The methods are in
-// three files: MembershipNews.cpp (pauses, updates and broadcasts),
+// three files: MembershipUpdates.cpp (pauses, updates and broadcasts),
 // MembershipProbes.cpp (failure detection) and MembershipSync.cpp (table
 // comparison, seeds and host list).
 //
@@ -63,7 +63,7 @@
   Impl(const MembershipOptions &Options, Member Self,
        std::vector<Endpoint> Seeds, std::uint64_t RandomSeed, Instant Now);
 
-  // MembershipNews.cpp: pauses, updates and broadcasts.
+  // MembershipUpdates.cpp: pauses, updates and broadcasts.
   void detectPause(Instant Now);
   void onResume(Duration Gap, Instant Now);
   void tick(Instant Now);
