--- a/tests/correctness/CarriersFollowTheLoad.cpp
+++ b/tests/correctness/CarriersFollowTheLoad.cpp
@@ -51,13 +51,14 @@
   }
   void run(Duration For, double Millicores) {
     for (Instant End = Now + For; Now < End; Now += Seconds(1)) {
-      auto Carriers = choose();
-      Sizes.insert(Carriers.size());
+      auto Selected = choose();
+      Sizes.insert(Selected.size());
       for (std::size_t I = 0; I < Hosts.size(); ++I) {
-        bool Carries = std::ranges::find(Carriers, &Hosts[I]) != Carriers.end();
-        double Share = Millicores / double(Carriers.size());
-        double Use = Carries ? Share / Hosts[I].Capacity : 0;
-        bool Served = Carries || Hosts[I].Load > 0;
+        bool IsSelected =
+            std::ranges::find(Selected, &Hosts[I]) != Selected.end();
+        double Share = Millicores / double(Selected.size());
+        double Use = IsSelected ? Share / Hosts[I].Capacity : 0;
+        bool Served = IsSelected || Hosts[I].Load > 0;
         Announced[I] = Levels[I].observe(Use, Served, Now);
       }
       for (std::size_t I = 0; I < Hosts.size(); ++I)
