--- a/packages/daemon/Api.cpp
+++ b/packages/daemon/Api.cpp
@@ -203,12 +203,13 @@
 ServerReply Api::entry(const ServerRequest &Request) const {
   const EntryDirectory &Entries = P.Control.entries();
   Instant Now = P.Loop.now();
-  EntryAnswer A = Entries.answer(
-      P.Fleet.View, queryValue(Request.Query, "key"),
-      AvailabilityZone(queryValue(Request.Query, "zone")),
-      [&](const DaemonId &Id) {
-        return P.Control.membership().warmUpFraction(Id, Entries.options().WarmUp, Now);
-      });
+  EntryAnswer A =
+      Entries.answer(P.Fleet.View, queryValue(Request.Query, "key"),
+                     AvailabilityZone(queryValue(Request.Query, "zone")),
+                     [&](const DaemonId &Id) {
+                       return P.Control.membership().warmUpFraction(
+                           Id, Entries.options().WarmUp, Now);
+                     });
   if (A.Addresses.empty())
     return problemReply(ResultCode::NotReady, "no daemon is ready yet", {},
                         Duration(Seconds(1)));
