--- a/packages/fleet/MemberTable.cpp
+++ b/packages/fleet/MemberTable.cpp
@@ -14,8 +14,8 @@
 }
 
 void clearSuspicion(MemberRecord &R) {
-  R.Fact.Thought = Health::Trusted;
-  R.Fact.Accuser = HostId();
+  R.Update.ObservedHealth = Health::Trusted;
+  R.Update.Accuser = HostId();
   R.Accusers.clear();
 }
 
@@ -29,21 +29,22 @@
 
 } // namespace
 
-MemberState shownState(const MemberRecord &R) {
-  MemberState Declared = R.Fact.Who.State;
-  if (Declared == MemberState::Left)
+MemberState visibleState(const MemberRecord &R) {
+  MemberState Announced = R.Update.Who.State;
+  if (Announced == MemberState::Left)
     return MemberState::Left;
-  if (R.Fact.Thought == Health::Failed)
+  if (R.Update.ObservedHealth == Health::Failed)
     return MemberState::Failed;
-  if (Declared == MemberState::Leaving || R.ListedLeaving)
+  if (Announced == MemberState::Leaving || R.ListedLeaving)
     return MemberState::Leaving;
-  if (Declared == MemberState::Alive && R.Fact.Thought == Health::Suspect)
+  if (Announced == MemberState::Alive &&
+      R.Update.ObservedHealth == Health::Suspect)
     return MemberState::Suspect;
-  return Declared;
+  return Announced;
 }
 
 bool isLive(const MemberRecord &R) {
-  MemberState S = shownState(R);
+  MemberState S = visibleState(R);
   return S != MemberState::Failed && S != MemberState::Left;
 }
 
@@ -60,12 +61,12 @@
   return It == Records.end() ? nullptr : &It->second;
 }
 
-RecordBefore MemberTable::before(const HostId &Host) const {
+RecordSummary MemberTable::before(const HostId &Host) const {
   const MemberRecord *R = find(Host);
   if (!R)
     return {};
-  return {true, R->Fact.Who.Id.Incarnation, R->Fact.Who.State, shownState(*R),
-          R->Fact.Thought};
+  return {true, R->Update.Who.Id.Incarnation, R->Update.Who.State,
+          visibleState(*R), R->Update.ObservedHealth};
 }
 
 MergeResult MemberTable::merge(const MemberUpdate &U, Instant Now) {
@@ -73,99 +74,104 @@
   if (It == Records.end())
     return insert(U, Now);
   MemberRecord &R = It->second;
-  if (isOlder(U, R.Fact))
-    return MergeResult::Nothing;
-  DaemonId OldId = R.Fact.Who.Id;
-  if (isOlder(R.Fact, U)) {
-    MergeResult Merged = takeNewer(R, U, Now);
+  if (isOlder(U, R.Update))
+    return MergeResult::Ignored;
+  DaemonId OldId = R.Update.Who.Id;
+  if (isOlder(R.Update, U)) {
+    MergeResult Merged = applyNewer(R, U, Now);
     commit(R, OldId, Now);
     return Merged;
   }
-  if (U.Thought == Health::Trusted)
-    return MergeResult::Nothing;
-  MergeResult Merged = accuse(R, U, Now);
-  if (Merged == MergeResult::News)
+  if (U.ObservedHealth == Health::Trusted)
+    return MergeResult::Ignored;
+  MergeResult Merged = addAccusation(R, U, Now);
+  if (Merged == MergeResult::Updated)
     commit(R, OldId, Now);
   return Merged;
 }
 
 MergeResult MemberTable::insert(const MemberUpdate &U, Instant Now) {
-  // A tombstone is never learned from others. Otherwise two daemons whose
-  // tombstones run out at different times would hand it to each other for ever.
-  if (U.Thought == Health::Failed || U.Who.State == MemberState::Left)
-    return MergeResult::Nothing;
+  // Tombstones are never learned from others. Otherwise two daemons whose
+  // tombstones expire at different times would restore them from each other
+  // forever.
+  if (U.ObservedHealth == Health::Failed || U.Who.State == MemberState::Left)
+    return MergeResult::Ignored;
   if (Records.size() >= MaxMembers)
-    return MergeResult::Full;
+    return MergeResult::AtCapacity;
   MemberRecord &R = Records[U.Who.Id.Host];
-  R.Fact = U;
+  R.Update = U;
   R.HeardAt = Now;
   clearSuspicion(R);
-  if (U.Thought == Health::Suspect)
-    accuse(R, U, Now);
+  if (U.ObservedHealth == Health::Suspect)
+    addAccusation(R, U, Now);
   commit(R, U.Who.Id, Now);
-  return MergeResult::News;
+  return MergeResult::Updated;
 }
 
-MergeResult MemberTable::takeNewer(MemberRecord &R, const MemberUpdate &U,
-                                   Instant Now) {
-  bool WasFailed = R.Fact.Thought == Health::Failed;
-  bool NewRun = R.Fact.Who.Id != U.Who.Id;
+MergeResult MemberTable::applyNewer(MemberRecord &R, const MemberUpdate &U,
+                                    Instant Now) {
+  bool WasFailed = R.Update.ObservedHealth == Health::Failed;
+  bool NewRun = R.Update.Who.Id != U.Who.Id;
   bool BecameAlive =
       U.Who.State == MemberState::Alive &&
-      (NewRun || WasFailed || R.Fact.Who.State != MemberState::Alive);
-  R.Fact.Who = U.Who;
-  R.Fact.Version = U.Version;
+      (NewRun || WasFailed || R.Update.Who.State != MemberState::Alive);
+  R.Update.Who = U.Who;
+  R.Update.Version = U.Version;
   if (NewRun)
     R.ListedLeaving = false;
   if (BecameAlive)
     R.AliveSince = Now;
-  if (WasFailed && U.Thought == Health::Failed)
-    return MergeResult::News;
+  if (WasFailed && U.ObservedHealth == Health::Failed)
+    return MergeResult::Updated;
   clearSuspicion(R);
-  if (U.Thought == Health::Suspect)
-    accuse(R, U, Now);
-  return U.Thought == Health::Failed ? MergeResult::Doubt : MergeResult::News;
+  if (U.ObservedHealth == Health::Suspect)
+    addAccusation(R, U, Now);
+  return U.ObservedHealth == Health::Failed ? MergeResult::NeedsProbe
+                                            : MergeResult::Updated;
 }
 
-/// A member that we trust is never Failed nor suspected because another daemon
-/// holds it for Failed, only asked. When regions meet again, each side holds
-/// the whole other side for Failed; taking that word, or passing it on as a
-/// suspicion, would put everybody under suspicion at once, and the refutations
-/// would be late in the crowd. The accused itself is told by those that hold it
-/// for Failed (tickTombstones), and refutes.
-MergeResult MemberTable::accuse(MemberRecord &R, const MemberUpdate &U,
-                                Instant Now) {
-  if (R.Fact.Thought == Health::Failed || R.Fact.Who.State == MemberState::Left)
-    return MergeResult::Nothing;
-  if (R.Fact.Thought == Health::Trusted && U.Thought == Health::Failed)
-    return MergeResult::Doubt;
-  if (R.Fact.Thought == Health::Trusted) {
+/// A trusted member is never marked Failed or Suspect because another daemon
+/// considers it Failed; it is only probed. When regions merge after a
+/// partition, each side considers the whole other side Failed. Accepting that,
+/// or spreading it as a suspicion, would make all members suspects at once, and
+/// their refutations would be delayed by the volume of updates. The daemons
+/// that consider it Failed inform the accused itself (tickTombstones), which
+/// refutes.
+MergeResult MemberTable::addAccusation(MemberRecord &R, const MemberUpdate &U,
+                                       Instant Now) {
+  if (R.Update.ObservedHealth == Health::Failed ||
+      R.Update.Who.State == MemberState::Left)
+    return MergeResult::Ignored;
+  if (R.Update.ObservedHealth == Health::Trusted &&
+      U.ObservedHealth == Health::Failed)
+    return MergeResult::NeedsProbe;
+  if (R.Update.ObservedHealth == Health::Trusted) {
     R.SuspectedAt = Now;
     R.Probed = false;
   }
   const HostId &Accuser = U.Accuser;
   bool Heard = std::ranges::find(R.Accusers, Accuser) != R.Accusers.end();
   if (Heard || R.Accusers.size() >= MaxAccusers)
-    return MergeResult::Nothing;
+    return MergeResult::Ignored;
   R.Accusers.push_back(Accuser);
-  R.Fact.Thought = Health::Suspect;
-  R.Fact.Accuser = Accuser;
-  return MergeResult::News;
+  R.Update.ObservedHealth = Health::Suspect;
+  R.Update.Accuser = Accuser;
+  return MergeResult::Updated;
 }
 
 void MemberTable::setSelf(const MemberUpdate &Self, Instant Now) {
   MemberRecord &R = Records[Self.Who.Id.Host];
-  bool WasAlive = R.Fact.Who.State == MemberState::Alive;
+  bool WasAlive = R.Update.Who.State == MemberState::Alive;
   if (!WasAlive && Self.Who.State == MemberState::Alive)
     R.AliveSince = Now;
-  R.Fact = Self;
+  R.Update = Self;
   commit(R, Self.Who.Id, Now);
 }
 
 void MemberTable::showSelfFailed(const HostId &Self, bool Failed) {
   SelfShownFailed = Failed ? std::optional(Self) : std::nullopt;
   const MemberRecord &R = Records.at(Self);
-  show(R, R.Fact.Who.Id);
+  updateView(R, R.Update.Who.Id);
 }
 
 void MemberTable::setListedLeaving(const HostId &Host, bool Leaving) {
@@ -173,16 +179,16 @@
   if (It == Records.end() || It->second.ListedLeaving == Leaving)
     return;
   It->second.ListedLeaving = Leaving;
-  show(It->second, It->second.Fact.Who.Id);
+  updateView(It->second, It->second.Update.Who.Id);
 }
 
-void MemberTable::heard(const GossipMessage &M, Instant Now) {
+void MemberTable::recordContact(const GossipMessage &M, Instant Now) {
   auto It = Records.find(M.Sender.Who.Id.Host);
-  if (It == Records.end() || It->second.Fact.Who.Id != M.Sender.Who.Id)
+  if (It == Records.end() || It->second.Update.Who.Id != M.Sender.Who.Id)
     return;
   MemberRecord &R = It->second;
   R.HeardAt = Now;
-  // Datagrams overtake each other; a generation never goes back.
+  // Datagrams may be reordered; the generation of a member never decreases.
   if (M.ConfigGeneration < R.ConfigGeneration)
     return;
   R.ConfigGeneration = M.ConfigGeneration;
@@ -193,9 +199,9 @@
 void MemberTable::setFailed(const HostId &Host, const HostId &Accuser,
                             Instant Now) {
   MemberRecord &R = Records.at(Host);
-  R.Fact.Thought = Health::Failed;
-  R.Fact.Accuser = Accuser;
-  commit(R, R.Fact.Who.Id, Now);
+  R.Update.ObservedHealth = Health::Failed;
+  R.Update.Accuser = Accuser;
+  commit(R, R.Update.Who.Id, Now);
 }
 
 void MemberTable::delaySuspicions(Duration By) {
@@ -205,44 +211,44 @@
 
 void MemberTable::forget(const HostId &Host) {
   auto It = Records.find(Host);
-  DaemonId Id = It->second.Fact.Who.Id;
-  auto Shown = std::ranges::lower_bound(View.Members, Id, {}, &Member::Id);
-  View.Members.erase(Shown);
+  DaemonId Id = It->second.Update.Who.Id;
+  auto Visible = std::ranges::lower_bound(View.Members, Id, {}, &Member::Id);
+  View.Members.erase(Visible);
   ++View.Number;
-  Dead.erase(Host);
+  Tombstones.erase(Host);
   Records.erase(It);
 }
 
 void MemberTable::commit(MemberRecord &R, const DaemonId &OldId, Instant Now) {
-  const HostId &Host = R.Fact.Who.Id.Host;
-  if (R.Fact.Thought == Health::Suspect)
+  const HostId &Host = R.Update.Who.Id.Host;
+  if (R.Update.ObservedHealth == Health::Suspect)
     Suspects.insert(Host);
   else
     Suspects.erase(Host);
   if (isLive(R))
-    Dead.erase(Host);
-  else if (Dead.insert(Host).second)
+    Tombstones.erase(Host);
+  else if (Tombstones.insert(Host).second)
     R.DeadSince = Now;
-  if (OldId != R.Fact.Who.Id)
+  if (OldId != R.Update.Who.Id)
     R.ConfigGeneration = R.ConfigHead = 0;
   R.Revisions = {};
   addToDigest(R);
-  show(R, OldId);
+  updateView(R, OldId);
 }
 
-/// Tombstones and suspicions are left out: daemons lose the ones and gain the
-/// others at different times, and would find differences at every comparison.
+/// Tombstones and suspicions are excluded: they expire and arrive at different
+/// times on different daemons, so every comparison would find differences.
 void MemberTable::addToDigest(MemberRecord &R) {
-  std::uint32_t &Bucket = Digest[bucketOf(R.Fact.Who.Id.Host)];
+  std::uint32_t &Bucket = Digest[bucketOf(R.Update.Who.Id.Host)];
   Bucket ^= R.Digest;
-  R.Digest = isLive(R) ? digestOf(R.Fact) : 0;
+  R.Digest = isLive(R) ? digestOf(R.Update) : 0;
   Bucket ^= R.Digest;
 }
 
-void MemberTable::show(const MemberRecord &R, const DaemonId &OldId) {
-  Member Now = R.Fact.Who;
+void MemberTable::updateView(const MemberRecord &R, const DaemonId &OldId) {
+  Member Now = R.Update.Who;
   Now.State =
-      SelfShownFailed == Now.Id.Host ? MemberState::Failed : shownState(R);
+      SelfShownFailed == Now.Id.Host ? MemberState::Failed : visibleState(R);
   auto Old = std::lower_bound(View.Members.begin(), View.Members.end(), OldId,
                               idBefore);
   bool Found = Old != View.Members.end() && Old->Id == OldId;
