--- a/packages/ctl/ChangeCommands.cpp
+++ b/packages/ctl/ChangeCommands.cpp
@@ -129,7 +129,7 @@
           ResultCode::AlreadyExists,
           fmt::format("{} exists; `shallotctl apply` replaces it", Path));
   }
-  return applied(std::move(D), Docs);
+  return applyDocuments(std::move(D), Docs);
 }
 
 } // namespace
@@ -142,8 +142,9 @@
 
 Result<Report> runApply(Session &S) {
   BOOST_LEAF_AUTO(Docs, documentsInFile(S));
-  return makeEdit(S, fmt::format("apply {} documents", Docs.size()),
-                  [Docs](Draft D) { return applied(std::move(D), Docs); });
+  return makeEdit(
+      S, fmt::format("apply {} documents", Docs.size()),
+      [Docs](Draft D) { return applyDocuments(std::move(D), Docs); });
 }
 
 Result<Report> runDelete(Session &S) {
@@ -151,7 +152,7 @@
   return makeEdit(S, fmt::format("delete {}", fmt::join(Paths, " ")),
                   [Paths](Draft D) -> Result<Draft> {
                     for (const std::string &Path : Paths) {
-                      BOOST_LEAF_ASSIGN(D, removed(std::move(D), Path));
+                      BOOST_LEAF_ASSIGN(D, removeObject(std::move(D), Path));
                     }
                     return D;
                   });
--- a/packages/ctl/ReadCommands.cpp
+++ b/packages/ctl/ReadCommands.cpp
@@ -122,7 +122,7 @@
   BOOST_LEAF_AUTO(Docs, decodeDocuments(Text));
   BOOST_LEAF_AUTO(Stored, S.config());
   Draft Now = draftOf(*Stored.Config);
-  BOOST_LEAF_AUTO(Then, applied(Now, Docs));
+  BOOST_LEAF_AUTO(Then, applyDocuments(Now, Docs));
   std::vector<std::string> Lines = differences(Now, Then);
   Report R;
   for (const std::string &Line : Lines)
--- a/packages/model/Document.h
+++ b/packages/model/Document.h
@@ -81,11 +81,11 @@
 /// in force yet, the first preset of \p Docs comes into force. Fails with
 /// DanglingReference when an upstream names a service that is in neither,
 /// AlreadyExists when \p Docs has an object twice.
-Result<Draft> applied(Draft D, const std::vector<OperatorDoc> &Docs);
+Result<Draft> applyDocuments(Draft D, const std::vector<OperatorDoc> &Docs);
 
 /// \p D without the object "service/T/G/S", "upstream/U" or "preset/P". Fails
 /// with UnknownObject, UnknownKind or StillReferenced.
-Result<Draft> removed(Draft D, std::string_view ObjectPath);
+Result<Draft> removeObject(Draft D, std::string_view ObjectPath);
 
 /// \p D with another preset in force. Fails with UnknownObject.
 Result<Draft> withPresetInForce(Draft D, const PresetName &Name);
--- a/packages/model/Draft.cpp
+++ b/packages/model/Draft.cpp
@@ -182,7 +182,7 @@
   return {C.head()->PresetInForce, C.groups(), C.presets()};
 }
 
-Result<Draft> applied(Draft D, const std::vector<OperatorDoc> &Docs) {
+Result<Draft> applyDocuments(Draft D, const std::vector<OperatorDoc> &Docs) {
   BOOST_LEAF_CHECK(checkOnceEach(Docs));
   Editor E(std::move(D));
   // Services first: an upstream may come before its service in the file.
@@ -192,7 +192,7 @@
   return std::move(E).finish();
 }
 
-Result<Draft> removed(Draft D, std::string_view ObjectPath) {
+Result<Draft> removeObject(Draft D, std::string_view ObjectPath) {
   auto Slash = ObjectPath.find('/');
   std::string_view Kind = ObjectPath.substr(0, Slash);
   std::string_view Name = Slash == std::string_view::npos
--- a/tests/ChangeFixture.h
+++ b/tests/ChangeFixture.h
@@ -11,7 +11,7 @@
   ChangeRequest R;
   R.What = change(std::move(Id), "apply");
   R.Edit = [Docs = std::move(Docs)](Draft D) {
-    return applied(std::move(D), Docs);
+    return applyDocuments(std::move(D), Docs);
   };
   return R;
 }
--- a/tests/ConfigFixture.h
+++ b/tests/ConfigFixture.h
@@ -71,7 +71,7 @@
         Docs.push_back(upstreamDoc(Group, Service,
                                    fmt::format("{}-{}", Service, R), Number++));
     }
-  return good([&] { return applied(Draft{}, Docs); });
+  return good([&] { return applyDocuments(Draft{}, Docs); });
 }
 
 inline Change change(std::string Id, std::string Summary = "test") {
--- a/tests/correctness/DocumentsRoundTrip.cpp
+++ b/tests/correctness/DocumentsRoundTrip.cpp
@@ -86,7 +86,7 @@
     std::string Shown = All.at(Path);
     auto Docs = good([&] { return decodeDocuments(Shown); });
     REQUIRE(Docs.size() == 1);
-    CHECK(good([&] { return applied(D, Docs); }) == D);
+    CHECK(good([&] { return applyDocuments(D, Docs); }) == D);
   }
 }
 
--- a/tests/correctness/DraftsAreEdited.cpp
+++ b/tests/correctness/DraftsAreEdited.cpp
@@ -6,9 +6,10 @@
 using namespace shallot::test;
 
 TEST_CASE("the first preset comes into force, later ones only on request") {
-  Draft D = good([&] { return applied(Draft{}, {presetFields("ordinary")}); });
+  Draft D =
+      good([&] { return applyDocuments(Draft{}, {presetFields("ordinary")}); });
   CHECK(D.PresetInForce.str() == "ordinary");
-  D = good([&] { return applied(D, {presetFields("a-peak")}); });
+  D = good([&] { return applyDocuments(D, {presetFields("a-peak")}); });
   CHECK(D.PresetInForce.str() == "ordinary");
   D = good([&] { return withPresetInForce(D, PresetName("a-peak")); });
   CHECK(D.PresetInForce.str() == "a-peak");
@@ -16,8 +17,8 @@
 
 TEST_CASE("an upstream may stand before its service in a file") {
   Draft D = good([&] {
-    return applied(Draft{}, {upstreamDoc("g", "s", "u", 1), presetFields("p"),
-                             serviceDoc("g", "s")});
+    return applyDocuments(Draft{}, {upstreamDoc("g", "s", "u", 1),
+                                    presetFields("p"), serviceDoc("g", "s")});
   });
   ConfigPtr C = configOf(D);
   ServiceRef Where;
@@ -31,7 +32,7 @@
   Draft D = draftOfSize(1, 1);
   ServiceDoc Doc = serviceDoc("group-00", "g00-s00");
   Doc.Books = {"new"};
-  D = good([&] { return applied(D, {Doc}); });
+  D = good([&] { return applyDocuments(D, {Doc}); });
   const Service &S = D.Groups[0]->Services[0];
   CHECK(S->Books == std::vector<std::string>{"new"});
   CHECK(S->Upstreams.size() == 3);
@@ -40,7 +41,7 @@
 TEST_CASE("what is in use cannot be removed") {
   Draft D = draftOfSize(1, 1);
   auto CodeOf = [&](const char *Path) {
-    return bad([&] { return removed(D, Path); }).Code;
+    return bad([&] { return removeObject(D, Path); }).Code;
   };
   CHECK(CodeOf("preset/ordinary") == ResultCode::StillReferenced);
   CHECK(CodeOf("service/khan-uul/group-00/g00-s00") ==
@@ -56,7 +57,7 @@
   for (const char *Path :
        {"upstream/g01-s00-a", "upstream/g01-s00-b", "upstream/g01-s00-c",
         "service/khan-uul/group-01/g01-s00"})
-    D = good([&] { return removed(D, Path); });
+    D = good([&] { return removeObject(D, Path); });
   CHECK(D == draftOfSize(1, 1));
 }
 
@@ -66,8 +67,8 @@
   U.Fields.Slots = 3;
   PresetFields P = presetFields("peak");
   P.Classes[CallerClass("reception-desk")].QueueLimit = 9;
-  Draft New = good([&] { return applied(Old, {U, P}); });
-  New = good([&] { return removed(New, "upstream/g00-s00-b"); });
+  Draft New = good([&] { return applyDocuments(Old, {U, P}); });
+  New = good([&] { return removeObject(New, "upstream/g00-s00-b"); });
   New = good([&] { return withPresetInForce(New, PresetName("peak")); });
   CHECK(differences(Old, New) ==
         std::vector<std::string>{
@@ -82,7 +83,7 @@
   ConfigPtr Before = configOf(draftOfSize(5, 2));
   UpstreamDoc U = upstreamDoc("group-03", "g03-s01", "g03-s01-b", 0);
   U.Fields.Leaving = true;
-  Draft D = good([&] { return applied(draftOf(*Before), {U}); });
+  Draft D = good([&] { return applyDocuments(draftOf(*Before), {U}); });
   PreparedChange P = good([&] { return prepare(Before, D, change("c2")); });
   CHECK(P.NewBlobs.size() == 1);
   CHECK(P.After->generation() == Before->generation() + 1);
--- a/tests/error/BadDocumentsAreNamed.cpp
+++ b/tests/error/BadDocumentsAreNamed.cpp
@@ -122,7 +122,7 @@
   for (const BadDraft &B : badDrafts()) {
     CAPTURE(B.Json);
     auto Docs = good([&] { return decodeDocuments(B.Json); });
-    Error E = bad([&] { return applied(Draft{}, Docs); });
+    Error E = bad([&] { return applyDocuments(Draft{}, Docs); });
     CHECK(codeLabel(E.Code) == codeLabel(B.Code));
     CHECK_MESSAGE(E.Detail.find(B.Says) != std::string::npos, E.Detail);
   }
@@ -131,13 +131,15 @@
 TEST_CASE("a configuration is checked as a whole") {
   Draft D = draftOfSize(2, 1);
   D = good([&] {
-    return applied(D, {upstreamDoc("group-01", "g01-s00", "g00-s00-a", 1)});
+    return applyDocuments(D,
+                          {upstreamDoc("group-01", "g01-s00", "g00-s00-a", 1)});
   });
   Error Twice = bad([&] { return prepare(nullptr, D, change("c")); });
   CHECK(Twice.Code == ResultCode::AlreadyExists);
   CHECK(Twice.Detail.find("upstream g00-s00-a of service") == 0);
 
-  Draft None = good([&] { return applied(Draft{}, {serviceDoc("g", "s")}); });
+  Draft None =
+      good([&] { return applyDocuments(Draft{}, {serviceDoc("g", "s")}); });
   Error NoPreset = bad([&] { return prepare(nullptr, None, change("c")); });
   CHECK(NoPreset.Code == ResultCode::ConfigInvalid);
 
@@ -155,7 +157,7 @@
       Doc.Books.push_back(fmt::format("{:090}", B));
     Docs.push_back(Doc);
   }
-  Draft D = good([&] { return applied(Draft{}, Docs); });
+  Draft D = good([&] { return applyDocuments(Draft{}, Docs); });
   Error E = bad([&] { return prepare(nullptr, D, change("c")); });
   CHECK(E.Code == ResultCode::PlatformTooLarge);
   CHECK(E.Detail.find("khan-uul/big has ") == 0);
--- a/tests/performance/BenchConfigChange.cpp
+++ b/tests/performance/BenchConfigChange.cpp
@@ -137,7 +137,7 @@
                                    fmt::format("{}-{}", Name, R),
                                    20000 + S * 3 + R));
     }
-    D = good([&] { return applied(D, More); });
+    D = good([&] { return applyDocuments(D, More); });
   }
   ConfigPtr Before = seasoned(D);
   std::size_t Upstreams = 0;
@@ -151,7 +151,7 @@
   U.Fields.Slots = 3;
   PreparedChange Change;
   double PrepareMs = millisOf([&] {
-    Draft After = good([&] { return applied(draftOf(*Before), {U}); });
+    Draft After = good([&] { return applyDocuments(draftOf(*Before), {U}); });
     Change = good([&] {
       return prepare(Before, After,
                      change("c-0195c2a1f01-0000000001", "apply 1 documents"));
--- a/tests/performance/BenchPeer.cpp
+++ b/tests/performance/BenchPeer.cpp
@@ -124,7 +124,8 @@
   for (const auto &[Hash, Json] : One.NewBlobs)
     Have.push_back(Hash);
   Draft Edited = good([&] {
-    return applied(D, {upstreamDoc("group-07", "g07-s03", "g07-s03-a", 9)});
+    return applyDocuments(D,
+                          {upstreamDoc("group-07", "g07-s03", "g07-s03-a", 9)});
   });
   auto Two = good([&] { return prepare(One.After, Edited, change("two")); });
   double Before = cpuMicros();
--- a/tutorial/lesson_01_configuration.cpp
+++ b/tutorial/lesson_01_configuration.cpp
@@ -52,14 +52,14 @@
       good([] { return decodeDocuments(FirstDay); });
   for (const OperatorDoc &D : Docs)
     fmt::print("   read {}\n", objectPath(D));
-  Draft D = good([&] { return applied(Draft(), Docs); });
+  Draft D = good([&] { return applyDocuments(Draft(), Docs); });
   return good([&] { return prepare(nullptr, D, change("c1", "first day")); });
 }
 
 PreparedChange moreSlots(const ConfigPtr &Before) {
   Draft Was = draftOf(*Before);
   Draft Is = good([&] {
-    return applied(Was, good([] { return decodeDocuments(MoreSlots); }));
+    return applyDocuments(Was, good([] { return decodeDocuments(MoreSlots); }));
   });
   for (const std::string &Line : differences(Was, Is))
     fmt::print("   {}\n", Line);
@@ -70,7 +70,7 @@
 Error errorOf(std::string_view Json, const Draft &D = {}) {
   auto Outcome = attempt([&]() -> Result<Draft> {
     BOOST_LEAF_AUTO(Docs, decodeDocuments(Json));
-    return applied(D, Docs);
+    return applyDocuments(D, Docs);
   });
   fmt::print("   {} {}\n", codeLabel(Outcome.error().Code),
              Outcome.error().Detail);
