--- a/packages/daemon/Requests.cpp
+++ b/packages/daemon/Requests.cpp
@@ -19,7 +19,7 @@
 }
 
 Result<void> checkTenant(const Config &C, const Tenant &T) {
-  if (C.knowsTenant(T))
+  if (C.hasTenant(T))
     return {};
   return fail(ResultCode::UnknownTenant,
               fmt::format("tenant: there is no '{}'", T.str()));
@@ -67,7 +67,7 @@
     if (!C.find(Owner, Name).Svc)
       return fail(ResultCode::UnknownService,
                   fmt::format("services: tenant {} has no service {}",
-                              Owner.str(), shownInError(One)));
+                              Owner.str(), formatForError(One)));
     Names.push_back(std::move(Name));
   }
   return Names;
--- a/packages/model/Config.cpp
+++ b/packages/model/Config.cpp
@@ -105,7 +105,7 @@
     }
 }
 
-bool Config::knowsTenant(const Tenant &T) const {
+bool Config::hasTenant(const Tenant &T) const {
   return std::ranges::any_of(Groups,
                              [&](const Group &G) { return G->Owner == T; });
 }
--- a/packages/model/Config.h
+++ b/packages/model/Config.h
@@ -42,7 +42,7 @@
   /// The preset in force.
   const Preset &preset() const { return *InForce; }
 
-  bool knowsTenant(const Tenant &T) const;
+  bool hasTenant(const Tenant &T) const;
   /// The service of this tenant and name; Svc is null when there is none.
   ServiceRef find(const Tenant &T, const ServiceName &Name) const;
   /// Services of a whole group, or null.
--- a/packages/model/Differences.cpp
+++ b/packages/model/Differences.cpp
@@ -54,8 +54,8 @@
     if (Old.is_object() && New.is_object())
       fieldDifferences(Prefix + Key + ".", Old, New, Out);
     else
-      Out.push_back(fmt::format("{}{} {} -> {}", Prefix, Key, shownInError(Old),
-                                shownInError(New)));
+      Out.push_back(fmt::format("{}{} {} -> {}", Prefix, Key,
+                                formatForError(Old), formatForError(New)));
   }
 }
 
--- a/packages/model/Document.cpp
+++ b/packages/model/Document.cpp
@@ -76,7 +76,7 @@
     return {};
   return fail(ResultCode::UnknownKind,
               fmt::format("{}: \"kind\" is {}, allowed here is \"{}\"",
-                          F.where(), shownInError(Text), Kind));
+                          F.where(), formatForError(Text), Kind));
 }
 
 Result<Change> changeFrom(const json &Doc) {
@@ -100,7 +100,7 @@
     if (!Hash.is_string())
       return fail(ResultCode::WrongType,
                   fmt::format("head: \"{}\" has {}, allowed are strings", Key,
-                              shownInError(Hash)));
+                              formatForError(Hash)));
     Hashes.emplace(Name, Hash.get<std::string>());
   }
   return Hashes;
--- a/packages/model/DocumentFields.cpp
+++ b/packages/model/DocumentFields.cpp
@@ -25,7 +25,7 @@
   return fail(ResultCode::OutOfRange,
               fmt::format("{}: \"coverage\" is {}, allowed are \"full\" and "
                           "\"partial\"",
-                          F.where(), shownInError(Text)));
+                          F.where(), formatForError(Text)));
 }
 
 /// Fields that are left out keep the defaults of ClassPolicy.
@@ -110,7 +110,7 @@
     if (!Book.is_string())
       return fail(ResultCode::WrongType,
                   fmt::format("{}: \"books\" has {}, allowed are strings",
-                              F.where(), shownInError(Book)));
+                              F.where(), formatForError(Book)));
     Books.push_back(Book.get<std::string>());
   }
   return Books;
--- a/packages/model/JsonFields.cpp
+++ b/packages/model/JsonFields.cpp
@@ -92,7 +92,7 @@
   return Doc.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::string shownInError(const json &Value) {
+std::string formatForError(const json &Value) {
   std::string Text = canonicalJson(Value);
   if (Text.size() <= MaxShownBytes)
     return Text;
@@ -103,7 +103,7 @@
   if (!Object.is_object())
     return fail(ResultCode::WrongType,
                 fmt::format("{}: is {}, allowed is an object", Where,
-                            shownInError(Object)));
+                            formatForError(Object)));
   return JsonFields(Object, std::move(Where));
 }
 
@@ -126,7 +126,7 @@
                std::string_view Allowed) {
   return fail(ResultCode::WrongType,
               fmt::format("{}: {} is {}, allowed is {}", Where, inQuotes(Key),
-                          shownInError(Value), Allowed));
+                          formatForError(Value), Allowed));
 }
 
 template <typename T>
@@ -134,7 +134,7 @@
                 T Min, T Max) {
   return fail(ResultCode::OutOfRange,
               fmt::format("{}: {} is {}, allowed are {} to {}", Where,
-                          inQuotes(Key), shownInError(Value), Min, Max));
+                          inQuotes(Key), formatForError(Value), Min, Max));
 }
 
 } // namespace
--- a/packages/model/JsonFields.h
+++ b/packages/model/JsonFields.h
@@ -42,7 +42,7 @@
 std::string canonicalJson(const nlohmann::json &Doc);
 
 /// \p Value for an error message, cut to a length that fits on a line.
-std::string shownInError(const nlohmann::json &Value);
+std::string formatForError(const nlohmann::json &Value);
 
 /// The fields of one JSON object, taken by name. The object must outlive it.
 class JsonFields {
--- a/packages/model/OperatorDocument.cpp
+++ b/packages/model/OperatorDocument.cpp
@@ -46,8 +46,8 @@
   if (Kind == Doc.end() || Name == Doc.end() || !Kind->is_string() ||
       !Name->is_string())
     return Where;
-  return fmt::format("{} ({} {})", Where, shownInError(*Kind),
-                     shownInError(*Name));
+  return fmt::format("{} ({} {})", Where, formatForError(*Kind),
+                     formatForError(*Name));
 }
 
 Result<OperatorDoc> presetDocFrom(JsonFields &F) {
@@ -65,7 +65,7 @@
   return fail(ResultCode::UnknownKind,
               fmt::format("{}: \"kind\" is {}, allowed are \"service\", "
                           "\"upstream\" and \"preset\"",
-                          F.where(), shownInError(Kind)));
+                          F.where(), formatForError(Kind)));
 }
 
 Result<OperatorDoc> documentFrom(const json &Doc, std::size_t Number) {
--- a/tests/correctness/DraftsAreEdited.cpp
+++ b/tests/correctness/DraftsAreEdited.cpp
@@ -24,8 +24,8 @@
   ServiceRef Where;
   REQUIRE(C->findUpstream(UpstreamId("u"), &Where));
   CHECK(Where.Svc == C->find(Tenant("khan-uul"), ServiceName("s")).Svc);
-  CHECK(C->knowsTenant(Tenant("khan-uul")));
-  CHECK_FALSE(C->knowsTenant(Tenant("banlangd")));
+  CHECK(C->hasTenant(Tenant("khan-uul")));
+  CHECK_FALSE(C->hasTenant(Tenant("banlangd")));
 }
 
 TEST_CASE("changing a service's books keeps its upstreams") {
