--- a/packages/daemon/ActionService.cpp
+++ b/packages/daemon/ActionService.cpp
@@ -78,7 +78,7 @@
   std::vector<UpstreamId> Fresh;
   std::vector<UpstreamId> Tried;
   for (const Upstream &U : Svc->Upstreams) {
-    if (!Replicas.open(U, Loop.now()))
+    if (!Replicas.acceptsWork(U, Loop.now()))
       continue;
     bool Known = std::ranges::find(Avoid, U->Id) != Avoid.end();
     (Known ? Tried : Fresh).push_back(U->Id);
--- a/packages/daemon/SearchService.cpp
+++ b/packages/daemon/SearchService.cpp
@@ -160,8 +160,8 @@
     return refuse(Id, refusalFor(Now));
   }
   R.Started = Loop.now();
-  QueryTools Tools{Replicas, Latency, Budgets,   Restarts,
-                   Rng,      &Traces, Fleet.Zone};
+  QueryContext Tools{Replicas, Latency, Budgets,   Restarts,
+                     Rng,      &Traces, Fleet.Zone};
   auto Made = attempt([&] { return QueryRun::make(specOf(R), Tools); });
   if (!Made) {
     // The configuration changed while it waited and a service is gone.
--- a/packages/model/Document.h
+++ b/packages/model/Document.h
@@ -47,7 +47,7 @@
 struct UpstreamDoc {
   Tenant Owner;
   GroupName InGroup;
-  ServiceName Behind;
+  ServiceName InService;
   UpstreamFields Fields;
 
   friend bool operator==(const UpstreamDoc &, const UpstreamDoc &) = default;
--- a/packages/model/Draft.cpp
+++ b/packages/model/Draft.cpp
@@ -35,14 +35,14 @@
   }
 
   Result<void> put(const UpstreamDoc &Doc) {
-    ServiceFields *S = find({Doc.Owner, Doc.InGroup}, Doc.Behind);
+    ServiceFields *S = find({Doc.Owner, Doc.InGroup}, Doc.InService);
     if (!S)
       return fail(ResultCode::DanglingReference,
                   fmt::format("upstream {}: there is no service {}/{}/{}; "
                               "create the service first or put it in the same "
                               "file",
                               Doc.Fields.Id.str(), Doc.Owner.str(),
-                              Doc.InGroup.str(), Doc.Behind.str()));
+                              Doc.InGroup.str(), Doc.InService.str()));
     BOOST_LEAF_AUTO(U, Upstream::make(Doc.Fields));
     std::erase_if(S->Upstreams, [&](const Upstream &Old) {
       return Old->Id == Doc.Fields.Id;
--- a/packages/model/OperatorDocument.cpp
+++ b/packages/model/OperatorDocument.cpp
@@ -30,7 +30,7 @@
   UpstreamDoc Doc;
   BOOST_LEAF_CHECK(readName(F, "tenant", Doc.Owner));
   BOOST_LEAF_CHECK(readName(F, "group", Doc.InGroup));
-  BOOST_LEAF_CHECK(readName(F, "service", Doc.Behind));
+  BOOST_LEAF_CHECK(readName(F, "service", Doc.InService));
   BOOST_LEAF_ASSIGN(Doc.Fields, upstreamFrom(F));
   BOOST_LEAF_CHECK(F.finish());
   return OperatorDoc(std::move(Doc));
--- a/packages/query/QueryMachine.cpp
+++ b/packages/query/QueryMachine.cpp
@@ -7,7 +7,7 @@
 
 namespace shallot {
 
-QueryMachine::QueryMachine(QuerySpec S, QueryTools T,
+QueryMachine::QueryMachine(QuerySpec S, QueryContext T,
                            std::vector<const Service *> A)
     : Spec(std::move(S)), Tools(std::move(T)), Targets(std::move(A)),
       Subs(Targets.size()) {
--- a/packages/query/QueryMachine.h
+++ b/packages/query/QueryMachine.h
@@ -39,7 +39,7 @@
 
 class QueryMachine {
 public:
-  QueryMachine(QuerySpec Spec, QueryTools Tools,
+  QueryMachine(QuerySpec Spec, QueryContext Tools,
                std::vector<const Service *> Targets);
   ~QueryMachine();
   QueryMachine(const QueryMachine &) = delete;
@@ -111,7 +111,7 @@
   ExtraBudgets &budgets();
 
   QuerySpec Spec;
-  QueryTools Tools;
+  QueryContext Tools;
   std::vector<const Service *> Targets;
   std::vector<SubQuery> Subs;
   std::optional<SubSender> Sender; ///< From start() on.
--- a/packages/query/QueryRun.cpp
+++ b/packages/query/QueryRun.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-Result<QueryRun> QueryRun::make(QuerySpec Spec, QueryTools Tools) {
+Result<QueryRun> QueryRun::make(QuerySpec Spec, QueryContext Tools) {
   if (Spec.Services.empty())
     return fail(ResultCode::MissingField,
                 "services: name at least one service to search");
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -77,7 +77,7 @@
 
 /// What all runs of a daemon share. All must outlive the runs; Traces may be
 /// null.
-struct QueryTools {
+struct QueryContext {
   ReplicaTable &Replicas;
   LatencyModel &Latency;
   BudgetTable &Budgets; ///< Hedges and retries, by tenant and class.
@@ -121,7 +121,7 @@
 public:
   /// Fails with MissingField (no service), TooManyServices, UnknownService or
   /// AlreadyExists (a service twice).
-  static Result<QueryRun> make(QuerySpec Spec, QueryTools Tools);
+  static Result<QueryRun> make(QuerySpec Spec, QueryContext Tools);
   QueryRun(QueryRun &&) noexcept;
   QueryRun &operator=(QueryRun &&) noexcept;
   ~QueryRun();
--- a/packages/query/ReplicaTable.cpp
+++ b/packages/query/ReplicaTable.cpp
@@ -180,7 +180,7 @@
            : std::span<const Snapshot>();
 }
 
-bool ReplicaTable::open(const Upstream &U, Instant Now) const {
+bool ReplicaTable::acceptsWork(const Upstream &U, Instant Now) const {
   if (U->Leaving)
     return false;
   const Replica *R = find(U->Id);
@@ -191,7 +191,7 @@
                            Instant Now) const {
   bool AnyOpen = false;
   for (const Upstream &U : Svc->Upstreams) {
-    if (!open(U, Now))
+    if (!acceptsWork(U, Now))
       continue;
     AnyOpen = true;
     if (holds(U->Id, Pin, Now) != false)
--- a/packages/query/ReplicaTable.h
+++ b/packages/query/ReplicaTable.h
@@ -121,7 +121,7 @@
   /// not to hold \p Pin.
   bool pinGone(const Service &Svc, const Snapshot &Pin, Instant Now) const;
   /// May get new work, leaving ejection aside.
-  bool open(const Upstream &U, Instant Now) const;
+  bool acceptsWork(const Upstream &U, Instant Now) const;
   /// Forgets upstreams that \p C does not have.
   void retain(const Config &C);
   std::optional<ReplicaStatus> status(const UpstreamId &Id, Instant Now) const;
--- a/packages/query/SnapshotChooser.cpp
+++ b/packages/query/SnapshotChooser.cpp
@@ -44,7 +44,7 @@
   for (const Service *Svc : Targets) {
     ++Number;
     for (const Upstream &U : (*Svc)->Upstreams)
-      if (Table.open(U, Now))
+      if (Table.acceptsWork(U, Now))
         for (const Snapshot &S : Table.servable(U->Id))
           countHolder(tallyOf(Tallies, S), Number);
   }
--- a/packages/query/SubSender.cpp
+++ b/packages/query/SubSender.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-SubSender::SubSender(const QuerySpec &Spec, QueryTools &Tools, Instant Begin,
+SubSender::SubSender(const QuerySpec &Spec, QueryContext &Tools, Instant Begin,
                      Instant FinishBy)
     : Spec(Spec), Tools(Tools), Begin(Begin), FinishBy(FinishBy),
       Nonce(mintNonce(Tools.Rng)) {
--- a/packages/query/SubSender.h
+++ b/packages/query/SubSender.h
@@ -19,7 +19,7 @@
 
 class SubSender {
 public:
-  SubSender(const QuerySpec &Spec, QueryTools &Tools, Instant Begin,
+  SubSender(const QuerySpec &Spec, QueryContext &Tools, Instant Begin,
             Instant FinishBy);
 
   /// The upstream to ask next for \p Sub, or nothing.
@@ -58,7 +58,7 @@
   void count(TraceKind Kind);
 
   const QuerySpec &Spec;
-  QueryTools &Tools;
+  QueryContext &Tools;
   Instant Begin;
   Instant FinishBy;
   std::string Nonce;         ///< Tells this run's attempts from all others.
--- a/tests/correctness/QueryFixture.h
+++ b/tests/correctness/QueryFixture.h
@@ -59,7 +59,7 @@
 
   explicit Daemon(std::uint64_t Seed, std::string Zone = "z0")
       : Rng(Seed), Zone(std::move(Zone)) {}
-  QueryTools tools() {
+  QueryContext tools() {
     return {Replicas,
             Latency,
             Budgets,
--- a/tutorial/lesson_02_one_query.cpp
+++ b/tutorial/lesson_02_one_query.cpp
@@ -85,7 +85,7 @@
     Replicas.onSent(Id, at(-10));
     Replicas.onReply(Id, at(-10), R, at(-5));
   }
-  QueryTools tools() {
+  QueryContext tools() {
     return {Replicas,
             Latency,
             Budgets,
