--- a/packages/model/Config.cpp
+++ b/packages/model/Config.cpp
@@ -15,34 +15,34 @@
   return fmt::format("{}/{}", G->Owner.str(), G->Name.str());
 }
 
-/// The things held and the things named by the head must be the same, else a
-/// daemon would serve less (or more) than the operators accepted.
-Result<void> checkNamed(const std::map<std::string, std::string> &Named,
-                        const std::set<std::string> &Held, std::size_t Count,
-                        std::string_view What) {
-  for (const auto &[Name, Hash] : Named)
-    if (!Held.contains(Name))
-      return fail(
-          ResultCode::ContentMismatch,
-          fmt::format("{} {} is named by the head but absent", What, Name));
-  if (Count != Named.size())
+/// The given objects must be exactly those that the head references; otherwise
+/// a daemon would serve less or more than the operators accepted.
+Result<void> checkExactSet(const std::map<std::string, std::string> &Referenced,
+                           const std::set<std::string> &Present,
+                           std::size_t Count, std::string_view What) {
+  for (const auto &[Name, Hash] : Referenced)
+    if (!Present.contains(Name))
+      return fail(ResultCode::ContentMismatch,
+                  fmt::format("{} {} is referenced by the head but absent",
+                              What, Name));
+  if (Count != Referenced.size())
     return fail(ResultCode::ContentMismatch,
-                fmt::format("{} {}s are held, the head names {}", Count, What,
-                            Named.size()));
+                fmt::format("{} {}s were given, the head references {}", Count,
+                            What, Referenced.size()));
   return {};
 }
 
-Result<void> checkWhole(const Head &H, const std::vector<Group> &Groups,
-                        const std::vector<Preset> &Presets) {
+Result<void> checkReferences(const Head &H, const std::vector<Group> &Groups,
+                             const std::vector<Preset> &Presets) {
   std::set<std::string> GroupKeys;
   for (const Group &G : Groups)
     GroupKeys.insert(groupKey(G));
   std::set<std::string> PresetKeys;
   for (const Preset &P : Presets)
     PresetKeys.insert(P->Name.str());
-  BOOST_LEAF_CHECK(checkNamed(H->Groups, GroupKeys, Groups.size(), "group"));
+  BOOST_LEAF_CHECK(checkExactSet(H->Groups, GroupKeys, Groups.size(), "group"));
   BOOST_LEAF_CHECK(
-      checkNamed(H->Presets, PresetKeys, Presets.size(), "preset"));
+      checkExactSet(H->Presets, PresetKeys, Presets.size(), "preset"));
   if (!PresetKeys.contains(H->PresetInForce.str()))
     return fail(ResultCode::DanglingReference,
                 fmt::format("the preset in force, {}, does not exist",
@@ -50,9 +50,9 @@
   return {};
 }
 
-/// Upstream names are unique everywhere: limits, slots and explanations name
-/// an upstream without its service.
-Result<void> checkNamesDiffer(const std::vector<Group> &Groups) {
+/// Upstream names must be unique across all services, because limits, slots and
+/// traces refer to an upstream without its service.
+Result<void> checkUniqueNames(const std::vector<Group> &Groups) {
   std::map<std::string, std::string> Services;
   std::map<UpstreamId, std::string> Upstreams;
   for (const Group &G : Groups)
@@ -62,14 +62,14 @@
           Services.emplace(serviceKey(G->Owner, S->Name), Where);
       if (!NewSvc)
         return fail(ResultCode::AlreadyExists,
-                    fmt::format("service {} exists as {}; one tenant's "
-                                "services need different names",
+                    fmt::format("service {} already exists as {}; the "
+                                "services of a tenant need different names",
                                 Where, Svc->second));
       for (const Upstream &U : S->Upstreams) {
         auto [Other, NewUp] = Upstreams.emplace(U->Id, Where);
         if (!NewUp)
           return fail(ResultCode::AlreadyExists,
-                      fmt::format("upstream {} of service {} exists behind "
+                      fmt::format("upstream {} of service {} already exists in "
                                   "service {}; delete that one first",
                                   U->Id.str(), Where, Other->second));
       }
@@ -81,8 +81,8 @@
 
 Result<ConfigPtr> Config::make(Head H, std::vector<Group> Groups,
                                std::vector<Preset> Presets) {
-  BOOST_LEAF_CHECK(checkWhole(H, Groups, Presets));
-  BOOST_LEAF_CHECK(checkNamesDiffer(Groups));
+  BOOST_LEAF_CHECK(checkReferences(H, Groups, Presets));
+  BOOST_LEAF_CHECK(checkUniqueNames(Groups));
   std::ranges::sort(Groups, {}, groupKey);
   std::ranges::sort(Presets, {}, [](const Preset &P) { return P->Name.str(); });
   return ConfigPtr(
--- a/packages/model/Config.h
+++ b/packages/model/Config.h
@@ -1,8 +1,8 @@
-//===- Config.h - One whole configuration -----------------------*- C++ -*-===//
+//===- Config.h - A complete configuration ----------------------*- C++ -*-===//
 //
-// What a daemon serves from: a head together with every group and preset that
-// it names. It is one immutable value behind a shared pointer; a query keeps
-// the pointer it started with, so that it sees one configuration to its end.
+// The configuration that a daemon serves: a head with every group and preset
+// that it references. It is immutable and shared by pointer; a query keeps the
+// pointer it started with, so that it uses one configuration until it ends.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_CONFIG_H
@@ -17,7 +17,7 @@
 
 namespace shallot {
 
-/// A service with the group that it belongs to.
+/// A service and the group that contains it.
 struct ServiceRef {
   const Group *InGroup = nullptr;
   const Service *Svc = nullptr;
@@ -28,10 +28,11 @@
 
 class Config {
 public:
-  /// Puts a configuration together. Fails with ContentMismatch when a group or
-  /// preset that the head names is absent, DanglingReference when the preset
-  /// in force is absent, AlreadyExists when two groups of one tenant have a
-  /// service, or any two services have an upstream, of the same name.
+  /// Assembles a configuration. Fails with ContentMismatch if the groups and
+  /// presets are not exactly those that the head references, DanglingReference
+  /// if the preset in force is absent, and AlreadyExists if two groups of one
+  /// tenant contain a service of the same name, or any two services contain an
+  /// upstream of the same name.
   static Result<ConfigPtr> make(Head H, std::vector<Group> Groups,
                                 std::vector<Preset> Presets);
 
@@ -43,11 +44,12 @@
   const Preset &preset() const { return *InForce; }
 
   bool hasTenant(const Tenant &T) const;
-  /// The service of this tenant and name; Svc is null when there is none.
+  /// Finds a service by tenant and name; Svc is null if there is none.
   ServiceRef find(const Tenant &T, const ServiceName &Name) const;
-  /// Services of a whole group, or null.
+  /// Returns the group, or null.
   const Group *findGroup(const Tenant &T, const GroupName &Name) const;
-  /// The upstream of this name anywhere, with its service, or nulls.
+  /// Finds an upstream by name in all services and stores its service in
+  /// \p Where; null if there is none.
   const Upstream *findUpstream(const UpstreamId &Id,
                                ServiceRef *Where = nullptr) const;
 
--- a/packages/model/Differences.cpp
+++ b/packages/model/Differences.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-/// Every object of \p D by its path, as the document that makes it.
+/// Returns every object of \p D by its path, as the document that creates it.
 std::map<std::string, json> objectsOf(const Draft &D) {
   std::map<std::string, json> All;
   for (const Group &G : D.Groups)
@@ -30,15 +30,16 @@
   return All;
 }
 
-/// "upstream uw-03-a" for "upstream/uw-03-a".
-std::string shownPath(std::string Path) {
+/// Returns "upstream uw-03-a" for "upstream/uw-03-a".
+std::string displayPath(std::string Path) {
   auto Slash = Path.find('/');
   if (Slash != std::string::npos)
     Path[Slash] = ' ';
   return Path;
 }
 
-/// The fields that differ, with those of nested objects by dotted names.
+/// Appends the fields that differ to \p Out, those of nested objects by dotted
+/// names.
 void fieldDifferences(const std::string &Prefix, const json &From,
                       const json &To, std::vector<std::string> &Out) {
   std::set<std::string> Keys;
@@ -63,7 +64,7 @@
                            const json &To) {
   std::vector<std::string> Fields;
   fieldDifferences("", From, To, Fields);
-  return fmt::format("{}: {}", shownPath(Path), fmt::join(Fields, ", "));
+  return fmt::format("{}: {}", displayPath(Path), fmt::join(Fields, ", "));
 }
 
 } // namespace
@@ -85,9 +86,9 @@
     auto O = Old.find(Path);
     auto N = New.find(Path);
     if (O == Old.end())
-      Lines.push_back(shownPath(Path) + ": added");
+      Lines.push_back(displayPath(Path) + ": added");
     else if (N == New.end())
-      Lines.push_back(shownPath(Path) + ": removed");
+      Lines.push_back(displayPath(Path) + ": removed");
     else
       Lines.push_back(differenceLine(Path, O->second, N->second));
   }
--- a/packages/model/Document.cpp
+++ b/packages/model/Document.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// The largest version or generation: what JSON numbers carry exactly.
+/// Limit on versions and generations: JSON numbers are exact up to 2^53.
 constexpr std::uint64_t MaxJsonInteger = 1ULL << 53;
 
-/// Whole milliseconds as a whole number, so that documents stay readable.
+/// Encodes whole milliseconds as an integer, to keep documents readable.
 json msToJson(Duration D) {
   if (D % Millis(1) == Duration(0))
     return toMillis(D);
--- a/packages/model/DocumentFields.cpp
+++ b/packages/model/DocumentFields.cpp
@@ -28,7 +28,7 @@
                           F.where(), formatForError(Text)));
 }
 
-/// Fields that are left out keep the defaults of ClassPolicy.
+/// Omitted fields keep the defaults of ClassPolicy.
 Result<ClassPolicy> policyFrom(const json &Doc, const std::string &Where) {
   BOOST_LEAF_AUTO(F, JsonFields::open(Doc, Where));
   ClassPolicy P;
@@ -85,7 +85,7 @@
   return P;
 }
 
-/// The fields of an upstream, which the caller finishes.
+/// Reads the fields of an upstream; the caller calls finish().
 Result<UpstreamFields> upstreamFrom(JsonFields &F) {
   UpstreamFields U;
   BOOST_LEAF_CHECK(readName(F, "name", U.Id));
--- a/packages/model/DocumentJson.h
+++ b/packages/model/DocumentJson.h
@@ -1,7 +1,7 @@
-//===- DocumentJson.h - The documents as JSON values ------------*- C++ -*-===//
+//===- DocumentJson.h - Documents as JSON values ----------------*- C++ -*-===//
 //
-// Shared by the files that read and write stored objects, operators' documents
-// and differences. Not for other packages.
+// Shared by the code for stored objects, operators' documents and differences.
+// Internal to package model.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_DOCUMENTJSON_H
@@ -15,16 +15,16 @@
 
 namespace shallot::internal {
 
-/// The fields of an upstream as a stored group has them.
+/// The fields of an upstream as in a stored group.
 nlohmann::json toJson(const Upstream &U);
 nlohmann::json toJson(const Preset &P);
 
-/// The document that an operator would write for each.
+/// The document that an operator would write for the object.
 nlohmann::json serviceDocument(const Group &G, const Service &S);
 nlohmann::json upstreamDocument(const Group &G, const Service &S,
                                 const Upstream &U);
 
-/// The name under \p Key as the kind of name that \p Field holds.
+/// Reads the name under \p Key into \p Field, converted to its name type.
 template <typename Tag>
 Result<void> readName(JsonFields &F, std::string_view Key, Name<Tag> &Field) {
   BOOST_LEAF_AUTO(Text, F.name(Key));
@@ -32,13 +32,14 @@
   return {};
 }
 
-/// The fields that stored objects and operators' documents have in common. The
-/// caller of upstreamFrom() and booksFrom() takes the rest and finishes.
+/// Read the fields that stored objects and operators' documents have in common.
+/// The caller of upstreamFrom() and booksFrom() reads the remaining fields and
+/// calls finish().
 Result<PresetFields> presetFrom(JsonFields &F);
 Result<UpstreamFields> upstreamFrom(JsonFields &F);
 Result<std::vector<std::string>> booksFrom(JsonFields &F);
 
-/// "service/T/G/S", the path of a service as operators write it.
+/// Returns "service/T/G/S", the path of a service in operator commands.
 std::string servicePath(const Tenant &T, const GroupName &G,
                         const ServiceName &S);
 
--- a/packages/model/Draft.cpp
+++ b/packages/model/Draft.cpp
@@ -13,11 +13,11 @@
 using GroupKey = std::pair<Tenant, GroupName>;
 using ServicesByName = std::map<ServiceName, ServiceFields>;
 
-/// A draft opened up, so that a file of thousands of documents is put in with
-/// one look-up each.
-class Editor {
+/// A draft with its services indexed by name, so that each of thousands of
+/// documents is applied with one look-up.
+class DraftEditor {
 public:
-  explicit Editor(Draft D) : D(std::move(D)) {
+  explicit DraftEditor(Draft D) : D(std::move(D)) {
     for (const Group &G : this->D.Groups) {
       ServicesByName &Services = Groups[{G->Owner, G->Name}];
       for (const Service &S : G->Services)
@@ -39,8 +39,8 @@
     if (!S)
       return fail(ResultCode::DanglingReference,
                   fmt::format("upstream {}: there is no service {}/{}/{}; "
-                              "create the service first or put it in the same "
-                              "file",
+                              "create the service first or add it to the "
+                              "same file",
                               Doc.Fields.Id.str(), Doc.Owner.str(),
                               Doc.InGroup.str(), Doc.InService.str()));
     BOOST_LEAF_AUTO(U, Upstream::make(Doc.Fields));
@@ -102,19 +102,19 @@
   return "preset/" + Doc.Name.str();
 }
 
-Result<void> checkOnceEach(const std::vector<OperatorDoc> &Docs) {
+Result<void> checkNoDuplicates(const std::vector<OperatorDoc> &Docs) {
   std::set<std::string> Seen;
   for (const OperatorDoc &Doc : Docs) {
     std::string Path = objectPath(Doc);
     if (!Seen.insert(Path).second)
       return fail(ResultCode::AlreadyExists,
-                  fmt::format("{} stands twice in the documents", Path));
+                  fmt::format("{} appears twice in the documents", Path));
   }
   return {};
 }
 
 template <typename Doc>
-Result<void> putAll(Editor &E, const std::vector<OperatorDoc> &Docs) {
+Result<void> putAll(DraftEditor &E, const std::vector<OperatorDoc> &Docs) {
   for (const OperatorDoc &Any : Docs)
     if (const Doc *D = std::get_if<Doc>(&Any))
       BOOST_LEAF_CHECK(E.put(*D));
@@ -143,7 +143,7 @@
 
 Result<Draft> withoutUpstream(const Draft &D, std::string_view Name,
                               std::string_view Path) {
-  Editor E(D);
+  DraftEditor E(D);
   for (const Group &G : D.Groups)
     for (const Service &S : G->Services)
       if (S.find(UpstreamId(std::string(Name)))) {
@@ -155,7 +155,7 @@
 }
 
 Result<Draft> withoutService(const Draft &D, std::string_view Path) {
-  Editor E(D);
+  DraftEditor E(D);
   for (const Group &G : D.Groups)
     for (const Service &S : G->Services) {
       if (servicePath(G->Owner, G->Name, S->Name) != Path)
@@ -183,9 +183,9 @@
 }
 
 Result<Draft> applyDocuments(Draft D, const std::vector<OperatorDoc> &Docs) {
-  BOOST_LEAF_CHECK(checkOnceEach(Docs));
-  Editor E(std::move(D));
-  // Services first: an upstream may come before its service in the file.
+  BOOST_LEAF_CHECK(checkNoDuplicates(Docs));
+  DraftEditor E(std::move(D));
+  // Services first, because an upstream may precede its service in the file.
   BOOST_LEAF_CHECK(putAll<ServiceDoc>(E, Docs));
   BOOST_LEAF_CHECK(putAll<UpstreamDoc>(E, Docs));
   BOOST_LEAF_CHECK(putAll<PresetFields>(E, Docs));
@@ -205,7 +205,7 @@
   if (Kind == "service")
     return withoutService(D, ObjectPath);
   return fail(ResultCode::UnknownKind,
-              fmt::format("'{}' is not an object; allowed are "
+              fmt::format("'{}' is not an object path; allowed are "
                           "service/TENANT/GROUP/SERVICE, upstream/UPSTREAM "
                           "and preset/PRESET",
                           ObjectPath));
--- a/packages/model/Group.cpp
+++ b/packages/model/Group.cpp
@@ -6,7 +6,8 @@
 namespace shallot {
 namespace {
 
-/// Length of the UTF-8 sequence that starts with \p Lead; 0: none does.
+/// Returns the length of the UTF-8 sequence that starts with \p Lead, or 0 if
+/// \p Lead is not a valid first byte.
 std::size_t sequenceLength(unsigned char Lead) {
   if (Lead < 0x80)
     return 1;
@@ -17,7 +18,7 @@
   return Lead >= 0xF0 && Lead <= 0xF4 ? 4 : 0;
 }
 
-/// True for UTF-8 text without control characters.
+/// True for UTF-8 text without ASCII control characters.
 bool isPrintable(std::string_view Text) {
   for (std::size_t I = 0; I < Text.size();) {
     auto Lead = static_cast<unsigned char>(Text[I]);
@@ -32,7 +33,7 @@
   return true;
 }
 
-/// Books and pools are names that people gave: any text on one line.
+/// Book and pool names are chosen by people and may be any text on one line.
 Result<void> checkBooks(const ServiceFields &F) {
   const std::string &Name = F.Name.str();
   if (F.Books.empty() || F.Books.size() > MaxBooksPerService)
@@ -49,36 +50,37 @@
                       Book.size(), MaxNameBytes));
   std::vector<std::string> Sorted = F.Books;
   std::ranges::sort(Sorted);
-  auto Twice = std::ranges::adjacent_find(Sorted);
-  if (Twice != Sorted.end())
-    return fail(
-        ResultCode::AlreadyExists,
-        fmt::format("service {}: the book '{}' is named twice", Name, *Twice));
+  auto Duplicate = std::ranges::adjacent_find(Sorted);
+  if (Duplicate != Sorted.end())
+    return fail(ResultCode::AlreadyExists,
+                fmt::format("service {}: the book '{}' is listed twice", Name,
+                            *Duplicate));
   return {};
 }
 
-/// Tenant and group are joined by '/' in the head, so neither may have one:
-/// "a/b" + "c" and "a" + "b/c" would be the same group.
+/// The head joins tenant and group with '/', so neither may contain one: "a/b"
+/// + "c" and "a" + "b/c" would be the same group.
 Result<void> checkPart(std::string_view Text, std::string_view What) {
   BOOST_LEAF_CHECK(checkName(Text, What));
   if (Text.find('/') != std::string_view::npos)
-    return fail(ResultCode::BadName,
-                fmt::format("{}: '{}' has a '/', which is not allowed here",
-                            What, Text));
+    return fail(
+        ResultCode::BadName,
+        fmt::format("{}: '{}' contains a '/', which is not allowed here", What,
+                    Text));
   return {};
 }
 
-/// Sorts \p All by the key that \p Of gives; the first of two with the same
-/// key, or null.
+/// Sorts \p All by the key that \p Of returns. Returns the first element with a
+/// duplicate key, or null.
 template <typename T, typename Key>
 const T *sortUnique(std::vector<T> &All, Key Of) {
   std::ranges::sort(All, {}, Of);
-  auto Twice = std::ranges::adjacent_find(All, {}, Of);
-  return Twice == All.end() ? nullptr : &*Twice;
+  auto Duplicate = std::ranges::adjacent_find(All, {}, Of);
+  return Duplicate == All.end() ? nullptr : &*Duplicate;
 }
 
-/// The one of \p All, sorted by what \p Of gives, whose key is \p Wanted, or
-/// null.
+/// Returns the element with key \p Wanted of \p All, which is sorted by the key
+/// that \p Of returns, or null.
 template <typename T, typename Key, typename K>
 const T *findSorted(const std::vector<T> &All, Key Of, const K &Wanted) {
   auto It = std::ranges::lower_bound(All, Wanted, {}, Of);
@@ -98,10 +100,10 @@
                 fmt::format("service {}: has {} upstreams, allowed are 0 to {}",
                             F.Name.str(), F.Upstreams.size(),
                             MaxUpstreamsPerService));
-  if (const Upstream *Twice = sortUnique(F.Upstreams, idOf))
+  if (const Upstream *Duplicate = sortUnique(F.Upstreams, idOf))
     return fail(ResultCode::AlreadyExists,
-                fmt::format("service {}: the upstream {} is named twice",
-                            F.Name.str(), (*Twice)->Id.str()));
+                fmt::format("service {}: the upstream {} is listed twice",
+                            F.Name.str(), (*Duplicate)->Id.str()));
   return Service(std::move(F));
 }
 
@@ -117,10 +119,10 @@
                 fmt::format("group {}: has {} services, allowed are 0 to {}",
                             F.Name.str(), F.Services.size(),
                             MaxServicesPerGroup));
-  if (const Service *Twice = sortUnique(F.Services, nameOf))
+  if (const Service *Duplicate = sortUnique(F.Services, nameOf))
     return fail(ResultCode::AlreadyExists,
-                fmt::format("group {}: the service {} is named twice",
-                            F.Name.str(), (*Twice)->Name.str()));
+                fmt::format("group {}: the service {} is listed twice",
+                            F.Name.str(), (*Duplicate)->Name.str()));
   return Group(std::move(F));
 }
 
--- a/packages/model/Group.h
+++ b/packages/model/Group.h
@@ -1,10 +1,10 @@
-//===- Group.h - Searchable services that are configured as one -*- C++ -*-===//
+//===- Group.h - Services that are configured together ----------*- C++ -*-===//
 //
-// A service is one shard of a search: it holds some books or pools, and any of
-// its upstreams can answer for it. A group is a set of services of one tenant,
-// such as underwriting-desk, and is the unit in which configuration is stored:
-// one object for each group keeps every object far below the platform's limit
-// of 1 MB and makes a change of one upstream rewrite one group only.
+// A service is one shard of a search: it holds some books or pools, and each of
+// its upstreams is a replica of it. A group is a set of services of one tenant,
+// such as underwriting-desk, and is the unit of storage: with one object per
+// group every object stays far below the platform's limit of 1 MB, and a change
+// to one upstream rewrites one group only.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_GROUP_H
@@ -22,8 +22,8 @@
 
 struct ServiceFields {
   ServiceName Name;
-  /// The books or pools that the service holds, by the names that callers see
-  /// when one is missing. At least one; no name twice.
+  /// The books or pools that the service holds, by the names reported to
+  /// callers when one is missing. At least one, without duplicates.
   std::vector<std::string> Books;
   std::vector<Upstream> Upstreams;
 
@@ -33,10 +33,10 @@
 
 class Service : public Immutable<ServiceFields> {
 public:
-  /// Fails with BadName, OutOfRange or AlreadyExists (a name twice).
+  /// Fails with BadName, OutOfRange or AlreadyExists (duplicate name).
   static Result<Service> make(ServiceFields F);
 
-  /// The upstream of this name, or null.
+  /// Returns the upstream of this name, or null.
   const Upstream *find(const UpstreamId &Id) const;
 
 private:
@@ -53,7 +53,7 @@
 
 class Group : public Immutable<GroupFields> {
 public:
-  /// Fails with BadName, OutOfRange or AlreadyExists (a name twice).
+  /// Fails with BadName, OutOfRange or AlreadyExists (duplicate name).
   static Result<Group> make(GroupFields F);
 
   const Service *find(const ServiceName &Name) const;
--- a/packages/model/Head.cpp
+++ b/packages/model/Head.cpp
@@ -30,7 +30,7 @@
 Result<Head> Head::make(HeadFields F) {
   if (F.Generation == 0)
     return fail(ResultCode::ConfigInvalid,
-                "head: generation is 0, allowed is 1 and up");
+                "head: generation is 0, it must be at least 1");
   if (!F.Presets.contains(F.PresetInForce.str()))
     return fail(ResultCode::ConfigInvalid,
                 fmt::format("head: the preset in force is '{}', which is not "
@@ -40,7 +40,7 @@
   BOOST_LEAF_CHECK(checkHashes(F.Presets, "preset"));
   if (F.Recent.size() > MaxRecentChanges)
     return fail(ResultCode::ConfigInvalid,
-                fmt::format("head: keeps {} changes, allowed are 0 to {}",
+                fmt::format("head: has {} recent changes, allowed are 0 to {}",
                             F.Recent.size(), MaxRecentChanges));
   return Head(std::move(F));
 }
--- a/packages/model/Head.h
+++ b/packages/model/Head.h
@@ -1,4 +1,4 @@
-//===- Head.h - The name of one whole configuration -------------*- C++ -*-===//
+//===- Head.h - Root object of a configuration -----------------*- C++ -*-===//
 //
 // A configuration is a two-level hash tree in the platform's object service:
 //
@@ -6,14 +6,15 @@
 //     groups   "khan-uul/claims-ledger" -> content hash
 //     presets  "peak"                   -> content hash
 //     the preset in force, the generation, the last changes
-//   config/blob/HASH     immutable content, written before the head names it
+//   config/blob/HASH     immutable content, written before the head refers to
+//   it
 //
-// A change writes its new blobs first and then swaps the head, so it is in
-// force whole or not at all, however many objects it touches. The generation
-// grows by one with each swap; a daemon never installs a lower one.
+// A change writes its new blobs first and then replaces the head, so it takes
+// effect atomically, however many objects it modifies. The generation increases
+// by one with each update of the head; a daemon never installs a lower one.
 //
-// The last changes are kept in the head so that an operator whose reply was
-// lost can find out whether the change landed.
+// The head keeps the last changes so that an operator whose reply was lost can
+// find out whether the change was stored.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_HEAD_H
@@ -28,18 +29,18 @@
 
 namespace shallot {
 
-/// How many changes the head remembers. A lost reply is looked up within
+/// Number of changes kept in the head. A lost reply is looked up within
 /// seconds; 64 changes are half an hour at 2,900 changes a day.
 inline constexpr std::size_t MaxRecentChanges = 64;
 
-/// The path of the head object and of the folder of blobs in the platform.
+/// Paths of the head object and of the blobs in the platform's object service.
 inline constexpr std::string_view HeadPath = "config/head";
 inline constexpr std::string_view BlobPrefix = "config/blob/";
 
-/// The largest value that the platform holds.
+/// The platform's limit on the size of an object.
 inline constexpr std::size_t MaxObjectBytes = 1000000;
 
-/// One operator's change, as the head remembers it.
+/// An operator's change as recorded in the head.
 struct Change {
   ChangeId Id;
   std::uint64_t Generation = 0;
@@ -64,11 +65,11 @@
 
 class Head : public Immutable<HeadFields> {
 public:
-  /// Fails with ConfigInvalid when the preset in force is not in Presets, a
-  /// hash has the wrong form or more changes are kept than allowed.
+  /// Fails with ConfigInvalid if the generation is 0, the preset in force is
+  /// not in Presets, a hash is malformed or there are too many recent changes.
   static Result<Head> make(HeadFields F);
 
-  /// The change of this id, or null.
+  /// Returns the change of this id, or null.
   const Change *find(const ChangeId &Id) const;
 
 private:
--- a/packages/model/Immutable.h
+++ b/packages/model/Immutable.h
@@ -1,12 +1,12 @@
-//===- Immutable.h - A checked value that cannot change ---------*- C++ -*-===//
+//===- Immutable.h - Base of validated immutable values --------*- C++ -*-===//
 //
-// The checked kinds of this package are written as a plain struct of fields and
-// a class made from it by a static make() that checks them:
+// Each validated type of this package consists of a plain struct of fields and
+// a class that a static make() creates from it after validation:
 //
 //   Result<Upstream> U = Upstream::make({.Id = ..., .Address = ...});
 //   U.value()->Slots
 //
-// After make() nobody can change a field, so the checks hold for good.
+// The fields cannot change after make(), so the validation stays valid.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_IMMUTABLE_H
@@ -16,7 +16,7 @@
 
 namespace shallot {
 
-/// Read-only access to a struct of fields, with comparison by value.
+/// Read-only access to a struct of fields, with equality by value.
 template <typename Fields> class Immutable {
 public:
   const Fields *operator->() const { return &F; }
--- a/packages/model/JsonFields.cpp
+++ b/packages/model/JsonFields.cpp
@@ -9,11 +9,12 @@
 
 using nlohmann::json;
 
-/// An error message stays on one line of a terminal.
-constexpr std::size_t MaxShownBytes = 60;
+/// Keeps an error message on one line of a terminal.
+constexpr std::size_t MaxErrorValueBytes = 60;
 
-/// Looks at brackets only. The parser keeps a few dozen bytes for each open
-/// bracket, so a body of brackets would take many times its size in memory.
+/// Counts brackets before parsing. The parser allocates a few dozen bytes per
+/// open bracket, so a body of brackets would take many times its size in
+/// memory.
 bool nestsTooDeep(std::string_view Text, unsigned MaxDepth) {
   unsigned Depth = 0;
   bool InString = false;
@@ -33,25 +34,25 @@
   return false;
 }
 
-/// Notes a key that stands twice in one object. The parser would keep the last
-/// one silently, so that "slots" written twice would take effect as something
-/// that the operator did not mean.
-class RepeatedKeys {
+/// Detects a key that appears twice in one object. The parser silently keeps
+/// the last one, so a repeated "slots" could take effect with a value that the
+/// operator did not intend.
+class DuplicateKeys {
 public:
-  void see(json::parse_event_t Event, const json &Parsed) {
+  void onEvent(json::parse_event_t Event, const json &Parsed) {
     if (Event == json::parse_event_t::object_start)
       Open.emplace_back();
     else if (Event == json::parse_event_t::object_end && !Open.empty())
       Open.pop_back();
     else if (Event == json::parse_event_t::key && !Open.empty() &&
              !Open.back().insert(Parsed.get<std::string>()).second)
-      Repeated = Parsed.get<std::string>();
+      Duplicate = Parsed.get<std::string>();
   }
-  const std::string &repeated() const { return Repeated; }
+  const std::string &duplicate() const { return Duplicate; }
 
 private:
   std::vector<std::set<std::string>> Open;
-  std::string Repeated;
+  std::string Duplicate;
 };
 
 std::string inQuotes(std::string_view Key) {
@@ -70,22 +71,22 @@
     return fail(
         ResultCode::MalformedJson,
         fmt::format("{}: nested deeper than {} levels", What, Limits.MaxDepth));
-  RepeatedKeys Keys;
+  DuplicateKeys Keys;
   try {
     json Doc =
         json::parse(Text, [&](int, json::parse_event_t Event, json &Parsed) {
-          Keys.see(Event, Parsed);
+          Keys.onEvent(Event, Parsed);
           return true;
         });
-    if (Keys.repeated().empty())
+    if (Keys.duplicate().empty())
       return Doc;
   } catch (const json::exception &E) {
     return fail(ResultCode::MalformedJson,
                 fmt::format("{}: {}", What, std::string_view(E.what())));
   }
   return fail(ResultCode::MalformedJson,
-              fmt::format("{}: field {} stands twice in one object", What,
-                          inQuotes(Keys.repeated())));
+              fmt::format("{}: field {} appears twice in one object", What,
+                          inQuotes(Keys.duplicate())));
 }
 
 std::string canonicalJson(const json &Doc) {
@@ -94,9 +95,9 @@
 
 std::string formatForError(const json &Value) {
   std::string Text = canonicalJson(Value);
-  if (Text.size() <= MaxShownBytes)
+  if (Text.size() <= MaxErrorValueBytes)
     return Text;
-  return Text.substr(0, MaxShownBytes) + "...";
+  return Text.substr(0, MaxErrorValueBytes) + "...";
 }
 
 Result<JsonFields> JsonFields::open(const json &Object, std::string Where) {
--- a/packages/model/JsonFields.h
+++ b/packages/model/JsonFields.h
@@ -1,17 +1,17 @@
-//===- JsonFields.h - Reading JSON that others wrote ------------*- C++ -*-===//
+//===- JsonFields.h - Strict parsing of external JSON -----------*- C++ -*-===//
 //
-// Strict, bounded reading of JSON from outside: size, depth and repeated keys
-// are checked while parsing, each field is taken by name with its type and
-// range, and finish() refuses the fields that nobody took. Every error names
-// where it is, the field, the value and what is allowed; nothing here throws.
+// Strict, bounded parsing of external JSON: size, depth and duplicate keys are
+// checked during parsing, each field is read by name with its type and range,
+// and finish() rejects fields that were not read. Every error gives the
+// location, the field, the value and the allowed values; nothing here throws.
 //
 //   BOOST_LEAF_AUTO(Doc, parseJson(Text, "the settings", {}));
 //   BOOST_LEAF_AUTO(F, JsonFields::open(Doc, "upstream"));
 //   BOOST_LEAF_AUTO(Slots, F.integer("slots", 1, MaxSlots));
 //   BOOST_LEAF_CHECK(F.finish());
 //
-// Include <nlohmann/json.hpp> yourself; this header only names the type, so
-// that the many users of package model do not pay for it.
+// Users include <nlohmann/json.hpp> themselves; this header only declares the
+// type, to keep compile times low for the many users of package model.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_JSONFIELDS_H
@@ -29,32 +29,34 @@
 
 struct JsonLimits {
   std::size_t MaxBytes = 1000000;
-  /// Deep nesting costs memory out of proportion to its bytes; no document of
-  /// ours nests deeper than 8.
+  /// The memory cost of deep nesting is out of proportion to its size in bytes;
+  /// no document of this project nests deeper than 8 levels.
   unsigned MaxDepth = 16;
 };
 
-/// Parses \p Text. Fails with MalformedJson, naming \p What.
+/// Parses \p Text. Fails with BodyTooLarge or MalformedJson; \p What starts the
+/// error message.
 Result<nlohmann::json> parseJson(std::string_view Text, std::string_view What,
                                  JsonLimits Limits = {});
 
-/// \p Doc in canonical form: sorted keys, no spaces. Never throws.
+/// Returns \p Doc in canonical form: sorted keys, no spaces. Never throws.
 std::string canonicalJson(const nlohmann::json &Doc);
 
-/// \p Value for an error message, cut to a length that fits on a line.
+/// Formats \p Value for an error message, truncated to fit on a line.
 std::string formatForError(const nlohmann::json &Value);
 
-/// The fields of one JSON object, taken by name. The object must outlive it.
+/// Reads the fields of one JSON object by name. The object must outlive it.
 class JsonFields {
 public:
-  /// Fails with WrongType when \p Object is none. \p Where starts each error.
+  /// Fails with WrongType if \p Object is not an object. \p Where starts each
+  /// error message.
   static Result<JsonFields> open(const nlohmann::json &Object,
                                  std::string Where);
 
   bool has(std::string_view Key) const;
   const std::string &where() const { return Where; }
 
-  /// Each fails with MissingField or WrongType, numbers with OutOfRange.
+  /// Each fails with MissingField or WrongType, numbers also with OutOfRange.
   Result<std::string> string(std::string_view Key);
   Result<std::uint64_t> integer(std::string_view Key, std::uint64_t Min,
                                 std::uint64_t Max);
@@ -62,10 +64,11 @@
   Result<bool> boolean(std::string_view Key);
   Result<const nlohmann::json *> array(std::string_view Key);
   Result<const nlohmann::json *> object(std::string_view Key);
-  /// A string that checkName() accepts.
+  /// Reads a string that satisfies checkName().
   Result<std::string> name(std::string_view Key);
 
-  /// Fails with UnknownField, listing the fields that are known.
+  /// Fails with UnknownField if a field has not been read; lists the known
+  /// fields.
   Result<void> finish() const;
 
 private:
--- a/packages/model/OperatorDocument.cpp
+++ b/packages/model/OperatorDocument.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Documents in one file; more is a mistake, not an operator's wish.
+/// Limit on documents in one file; a larger number is a mistake.
 constexpr std::size_t MaxDocuments = 50000;
 Result<OperatorDoc> serviceDocFrom(JsonFields &F) {
   ServiceDoc Doc;
@@ -36,8 +36,9 @@
   return OperatorDoc(std::move(Doc));
 }
 
-/// "document 3 (upstream uw-03-a)", so that an error in a long file is found.
-std::string whereOf(const json &Doc, std::size_t Number) {
+/// Returns, for example, "document 3 (upstream uw-03-a)", to locate an error in
+/// a long file.
+std::string locationOf(const json &Doc, std::size_t Number) {
   std::string Where = fmt::format("document {}", Number);
   if (!Doc.is_object())
     return Where;
@@ -69,7 +70,7 @@
 }
 
 Result<OperatorDoc> documentFrom(const json &Doc, std::size_t Number) {
-  BOOST_LEAF_AUTO(F, JsonFields::open(Doc, whereOf(Doc, Number)));
+  BOOST_LEAF_AUTO(F, JsonFields::open(Doc, locationOf(Doc, Number)));
   BOOST_LEAF_AUTO(Kind, F.string("kind"));
   return documentOfKind(Kind, F);
 }
--- a/packages/model/PreparedChange.cpp
+++ b/packages/model/PreparedChange.cpp
@@ -5,7 +5,7 @@
 namespace shallot {
 namespace {
 
-/// The longest operator's name and summary that the head keeps.
+/// Limit on the operator's name and on the summary of a change in the head.
 constexpr std::size_t MaxChangeTextBytes = 200;
 
 Result<void> checkChange(const Change &What) {
@@ -28,7 +28,8 @@
                           What, Json.size(), MaxObjectBytes));
 }
 
-/// Adds one blob to the head's table and, when it is new, to those to write.
+/// Adds a blob to the head's table \p Table and, if it is not stored yet, to
+/// \p NewBlobs.
 Result<void> addBlob(std::string Name, std::string Json,
                      const std::set<std::string> &Stored,
                      std::map<std::string, std::string> &Table,
@@ -52,7 +53,7 @@
   return Hashes;
 }
 
-std::vector<Change> recentWith(const ConfigPtr &Before, Change What) {
+std::vector<Change> withChange(const ConfigPtr &Before, Change What) {
   std::vector<Change> Recent;
   if (Before)
     Recent = Before->head()->Recent;
@@ -71,7 +72,7 @@
   H.Generation = Before ? Before->generation() + 1 : 1;
   H.PresetInForce = D.PresetInForce;
   What.Generation = H.Generation;
-  H.Recent = recentWith(Before, std::move(What));
+  H.Recent = withChange(Before, std::move(What));
   std::set<std::string> Stored = storedHashes(Before);
   PreparedChange P;
   for (const Group &G : D.Groups)
--- a/packages/model/Preset.cpp
+++ b/packages/model/Preset.cpp
@@ -9,13 +9,13 @@
 constexpr double MinHedgeQuantile = 0.5;
 constexpr double MaxHedgeQuantile = 0.999;
 constexpr unsigned MaxEjectPercent = 50;
-/// A budget of 100 doubles the upstreams' load; nobody means more than that.
+/// A budget of 100 % can double the load of the upstreams; more is a mistake.
 constexpr double MaxBudgetPercent = 100;
 
 template <typename T>
 Result<void> checkRange(std::string_view Where, std::string_view Field, T Value,
                         T Min, T Max) {
-  // Written so that a NaN fails.
+  // This form of the comparison rejects NaN.
   if (Value >= Min && Value <= Max)
     return {};
   return fail(ResultCode::OutOfRange,
--- a/packages/model/Preset.h
+++ b/packages/model/Preset.h
@@ -1,8 +1,9 @@
-//===- Preset.h - What governs behaviour ------------------------*- C++ -*-===//
+//===- Preset.h - Policies for classes of callers ---------------*- C++ -*-===//
 //
-// A preset says, for each class of caller, what matters more when not all can
-// be had. Exactly one preset is in force at a time (Head.h). Operators switch
-// between ordinary day, peak and maintenance instead of tuning servers.
+// A preset defines for each class of callers the trade-off between latency,
+// coverage and load. Exactly one preset is in force at a time (Head.h).
+// Operators switch between ordinary day, peak and maintenance instead of tuning
+// servers.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_PRESET_H
@@ -15,26 +16,28 @@
 
 namespace shallot {
 
-/// The longest deadline of any request.
+/// Upper limit on the deadline of any request.
 inline constexpr Duration MaxDeadline = Seconds(30);
 inline constexpr unsigned MaxQueueLimit = 10000;
 inline constexpr unsigned LowestPriority = 9;
 
-/// What a class does with an answer that misses a book or pool.
+/// How a class treats an answer that lacks a book or pool.
 enum class CoverageRule : std::uint8_t {
   Full,    ///< Refuse it with CoverageRefused.
-  Partial, ///< Give it, naming what is missing.
+  Partial, ///< Return it with a list of what is missing.
 };
 
 /// How requests of one class are treated.
 struct ClassPolicy {
   unsigned Priority = 5;          ///< 0 is served first, LowestPriority last.
-  Duration Deadline = Seconds(1); ///< Used when a request names none; its cap.
+  Duration Deadline = Seconds(1); ///< The default and the maximum.
   CoverageRule Coverage = CoverageRule::Partial;
-  /// With Partial: answer at this age with what has come. 0: at the deadline.
+  /// With Partial: answer at this age with the replies so far. 0: at the
+  /// deadline.
   Duration PartialAfter{0};
-  unsigned QueueLimit = 64; ///< Requests that may wait in a daemon.
-  /// The longest wait in the queue; then the request is refused, not run.
+  unsigned QueueLimit = 64; ///< Requests that may queue in a daemon.
+  /// Maximum time in the queue, after which the request is refused without
+  /// running.
   Duration QueueWait = Millis(100);
   /// Hedges as a share of first sub-requests, in percent. 0: no hedges.
   double HedgeBudgetPercent = 5;
@@ -47,11 +50,11 @@
 struct PresetFields {
   PresetName Name;
   std::map<CallerClass, ClassPolicy> Classes;
-  /// A sub-request is hedged once it is older than this quantile of its
+  /// A sub-request is hedged when its age exceeds this quantile of its
   /// service's latency. 0.5 to 0.999.
   double HedgeQuantile = 0.95;
-  /// The largest share of a service's upstreams that may be ejected as
-  /// outliers, in percent. 0 to 50.
+  /// Maximum share of a service's upstreams that may be ejected as outliers, in
+  /// percent. 0 to 50.
   unsigned EjectMaxPercent = 34;
 
   friend bool operator==(const PresetFields &, const PresetFields &) = default;
@@ -59,10 +62,10 @@
 
 class Preset : public Immutable<PresetFields> {
 public:
-  /// Fails with BadName or OutOfRange, naming the class and the field.
+  /// Fails with BadName or OutOfRange and gives the class and the field.
   static Result<Preset> make(PresetFields F);
 
-  /// The policy of \p Class, or null.
+  /// Returns the policy of \p Class, or null.
   const ClassPolicy *find(const CallerClass &Class) const;
 
 private:
--- a/packages/model/SubRequest.h
+++ b/packages/model/SubRequest.h
@@ -1,8 +1,8 @@
-//===- SubRequest.h - What goes to an upstream and comes back ---*- C++ -*-===//
+//===- SubRequest.h - A request to an upstream and its reply ----*- C++ -*-===//
 //
-// One search fans out into one sub-request for each service; an action is one
-// sub-request. The same values travel whether this daemon holds a slot of the
-// upstream itself or relays through a daemon that does.
+// A search fans out into one sub-request per service; an action is one
+// sub-request. The same types are used whether this daemon holds a slot of the
+// upstream or relays through a daemon that does.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_SUBREQUEST_H
@@ -17,39 +17,39 @@
 namespace shallot {
 
 struct SubRequest {
-  RequestId Request; ///< Of the caller's request.
-  /// Unique in the fleet for each attempt; the upstream echoes it. A reply that
-  /// carries another one is not ours, whatever connection it came on.
+  RequestId Request; ///< Id of the caller's request.
+  /// Unique across the fleet for each attempt; the upstream echoes it. A reply
+  /// with another id belongs to another request, whatever its connection.
   std::string AttemptId;
   Tenant Owner;
   CallerClass Class;
   ServiceName Service;
   UpstreamId Target;
-  std::optional<Snapshot> Pin; ///< None: the newest that the upstream holds.
+  std::optional<Snapshot> Pin; ///< None: the upstream's newest snapshot.
   Duration Remaining{0};       ///< Until the caller's deadline.
   unsigned Priority = 5;       ///< From the class's policy.
   std::string TraceParent;     ///< W3C trace context, may be empty.
   std::string Body;            ///< The caller's query or action, as JSON.
-  /// Not empty: an action, which no library and no daemon may send again.
+  /// Non-empty for an action, which no library and no daemon may send again.
   std::string IdempotencyKey;
 
   friend bool operator==(const SubRequest &, const SubRequest &) = default;
 };
 
 struct SubReply {
-  /// Ok, or a 2xxx or 6xxx code that says what happened instead.
+  /// Ok, or a 2xxx or 6xxx code for the failure.
   ResultCode Code = ResultCode::Ok;
   Snapshot Served;
-  std::vector<Snapshot> Servable; ///< All that the upstream says it holds.
-  double Load = 0;                ///< As reported, 0 to 1; may lag or mislead.
+  std::vector<Snapshot> Servable; ///< Snapshots that the upstream reports.
+  double Load = 0; ///< As reported, 0 to 1; may be stale or wrong.
   bool Cold = false;
   bool Draining = false;
-  Duration RetryAfter{0};   ///< 0: not said.
-  Duration UpstreamTook{0}; ///< Seen by the daemon that held the slot.
-  Duration Queued{0};       ///< Waited for a slot there.
-  unsigned HolderQueue = 0; ///< Requests waiting there when it was sent.
-  int Status = 0;           ///< Of the HTTP reply; 0: none came.
-  bool Crashed = false;     ///< The upstream's process ended while it had it.
+  Duration RetryAfter{0};   ///< 0: not given.
+  Duration UpstreamTook{0}; ///< Measured by the slot's holder.
+  Duration Queued{0};       ///< Wait for a slot at its holder.
+  unsigned HolderQueue = 0; ///< Queue length there at that time.
+  int Status = 0;           ///< Of the HTTP reply; 0: none received.
+  bool Crashed = false;     ///< The upstream's process exited during it.
   std::string Body;         ///< The upstream's records, as JSON.
 
   friend bool operator==(const SubReply &, const SubReply &) = default;
--- a/packages/model/Upstream.h
+++ b/packages/model/Upstream.h
@@ -1,9 +1,9 @@
-//===- Upstream.h - One replica of a searchable service ---------*- C++ -*-===//
+//===- Upstream.h - One replica of a service --------------------*- C++ -*-===//
 //
-// An upstream is one process behind us that answers sub-requests for one
-// service. Its slots are how many requests it works on at a time, its
-// connections how many it accepts; both are limits on the whole fleet of
-// daemons together, not on each of them.
+// An upstream is one process that answers sub-requests for one service. Its
+// slots are the number of requests that it processes concurrently, its
+// connections the number that it accepts; both limits apply to the whole fleet
+// of daemons together, not to each daemon.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_UPSTREAM_H
@@ -23,7 +23,7 @@
   AvailabilityZone Zone;
   unsigned Slots = 1;       ///< 1 to MaxSlots.
   unsigned Connections = 1; ///< Slots to MaxConnections.
-  bool Leaving = false;     ///< An operator said that it is going.
+  bool Leaving = false;     ///< Marked as leaving by an operator.
 
   friend bool operator==(const UpstreamFields &,
                          const UpstreamFields &) = default;
--- a/packages/model/include/shallotshift/model.h
+++ b/packages/model/include/shallotshift/model.h
@@ -1,10 +1,10 @@
-//===- shallotshift/model.h - What operators configure ----------*- C++ -*-===//
+//===- shallotshift/model.h - Configuration data model ----------*- C++ -*-===//
 //
-// The public header of package model: upstreams, services and groups of them,
-// presets, the head that names one whole configuration, and the configuration
-// itself as one immutable value. All are made by make(), which checks them
-// once; JSON goes in and out through Document.h, and JsonFields.h reads other
-// JSON from outside as strictly. No I/O.
+// The public header of package model: upstreams, services, groups of services,
+// presets, the head that references all objects of one configuration, and the
+// configuration as one immutable value. Each type is created by make(), which
+// validates it once. Document.h converts them from and to JSON, and
+// JsonFields.h parses other external JSON with the same checks. No I/O.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_MODEL_H
--- a/tests/error/BadDocumentsAreNamed.cpp
+++ b/tests/error/BadDocumentsAreNamed.cpp
@@ -1,5 +1,5 @@
-// An operator's mistake is refused with a code, and a text that names the
-// field, the value and what is allowed.
+// Invalid documents are rejected with a code and a message that gives the
+// field, the value and the allowed values.
 #include "ConfigFixture.h"
 
 using namespace shallot;
@@ -10,10 +10,10 @@
 struct BadDocument {
   std::string Json;
   ResultCode Code;
-  std::string Says;
+  std::string ExpectedText;
 };
 
-/// A good upstream with one part of its text exchanged.
+/// A valid upstream document with \p Old replaced by \p New.
 std::string upstreamWith(std::string_view Old, std::string_view New) {
   std::string Doc =
       R"({"kind":"upstream","tenant":"t","group":"g","service":"s","name":"u",)"
@@ -38,7 +38,7 @@
       {R"({"kind":"daemon"})", UnknownKind,
        R"("kind" is "daemon", allowed are "service", "upstream" and "preset")"},
       {R"([{"kind":"service","kind":"service"}])", MalformedJson,
-       "field \"kind\" stands twice"},
+       "field \"kind\" appears twice"},
       {R"({"kind":7})", WrongType, "\"kind\" is 7, allowed is a string"},
       {upstreamWith("\"slots\":2", "\"slots\":0"), OutOfRange,
        "\"slots\" is 0, allowed are 1 to 1024"},
@@ -78,7 +78,7 @@
 struct BadDraft {
   std::string Json;
   ResultCode Code;
-  std::string Says;
+  std::string ExpectedText;
 };
 
 const std::vector<BadDraft> &badDrafts() {
@@ -92,13 +92,13 @@
       {upstreamWith("u", "u"), DanglingReference,
        "there is no service t/g/s; create the service first"},
       {Service("[]"), OutOfRange, "has 0 books, allowed are 1 to 256"},
-      {Service(R"(["a","a"])"), AlreadyExists, "the book 'a' is named twice"},
+      {Service(R"(["a","a"])"), AlreadyExists, "the book 'a' is listed twice"},
       {Service(R"(["a\n"])"), BadName, "(unprintable)"},
       {fmt::format("[{0},{0}]", Service("[\"a\"]")), AlreadyExists,
-       "service/t/g/s stands twice in the documents"},
+       "service/t/g/s appears twice in the documents"},
       {R"({"kind":"service","tenant":"a/b","group":"g","name":"s",)"
        R"("books":["x"]})",
-       BadName, "tenant: 'a/b' has a '/'"},
+       BadName, "tenant: 'a/b' contains a '/'"},
       {presetWith(R"("deadline_ms":100,"partial_after_ms":200)"), OutOfRange,
        "class desk: partial_after_ms is 200, allowed are 0 to 100"},
       {R"({"kind":"preset","name":"p","classes":{}})", OutOfRange,
@@ -109,26 +109,26 @@
 
 } // namespace
 
-TEST_CASE("a bad document is refused by field, value and what is allowed") {
+TEST_CASE("an error gives the field, the value and the allowed values") {
   for (const BadDocument &B : badDocuments()) {
     CAPTURE(B.Json);
     Error E = bad([&] { return decodeDocuments(B.Json); });
     CHECK(codeLabel(E.Code) == codeLabel(B.Code));
-    CHECK_MESSAGE(E.Detail.find(B.Says) != std::string::npos, E.Detail);
+    CHECK_MESSAGE(E.Detail.find(B.ExpectedText) != std::string::npos, E.Detail);
   }
 }
 
-TEST_CASE("good JSON that makes no sense is refused when it is applied") {
+TEST_CASE("inconsistent documents are rejected when they are applied") {
   for (const BadDraft &B : badDrafts()) {
     CAPTURE(B.Json);
     auto Docs = good([&] { return decodeDocuments(B.Json); });
     Error E = bad([&] { return applyDocuments(Draft{}, Docs); });
     CHECK(codeLabel(E.Code) == codeLabel(B.Code));
-    CHECK_MESSAGE(E.Detail.find(B.Says) != std::string::npos, E.Detail);
+    CHECK_MESSAGE(E.Detail.find(B.ExpectedText) != std::string::npos, E.Detail);
   }
 }
 
-TEST_CASE("a configuration is checked as a whole") {
+TEST_CASE("a configuration is validated as a whole") {
   Draft D = draftOfSize(2, 1);
   D = good([&] {
     return applyDocuments(D,
@@ -148,7 +148,7 @@
   CHECK(Absent.Code == ResultCode::ContentMismatch);
 }
 
-TEST_CASE("an object above the platform's megabyte is refused, not written") {
+TEST_CASE("an object above the platform's limit of 1 MB is rejected") {
   std::vector<OperatorDoc> Docs{presetFields("p")};
   for (unsigned S = 0; S < 64; ++S) {
     ServiceDoc Doc = serviceDoc("big", fmt::format("s{}", S));
