--- a/packages/query/AnswerBuilder.cpp
+++ b/packages/query/AnswerBuilder.cpp
@@ -5,7 +5,7 @@
 namespace shallot {
 namespace {
 
-/// Names listed in the text for people; the coverage itself lists all.
+/// Number of names in the human-readable text; Coverage lists all.
 constexpr std::size_t MaxNamesInText = 8;
 
 std::string waitingText(const SubQuery &Sub, Duration Waited) {
@@ -17,9 +17,9 @@
 }
 
 void addMissing(Coverage &C, const SubQuery &Sub, Duration Waited) {
-  bool GivenUp = Sub.State == SubState::Missing;
-  ResultCode Reason = GivenUp ? Sub.Reason : ResultCode::TransferTimeout;
-  std::string Text = GivenUp ? Sub.Text : waitingText(Sub, Waited);
+  bool Abandoned = Sub.State == SubState::Missing;
+  ResultCode Reason = Abandoned ? Sub.Reason : ResultCode::TransferTimeout;
+  std::string Text = Abandoned ? Sub.Text : waitingText(Sub, Waited);
   for (const std::string &Book : (*Sub.Svc)->Books)
     C.Missing.push_back({Book, Sub.name(), Reason, Text});
 }
--- a/packages/query/AnswerBuilder.h
+++ b/packages/query/AnswerBuilder.h
@@ -1,8 +1,8 @@
 //===- AnswerBuilder.h - Records and coverage from the parts ----*- C++ -*-===//
 //
-// Coverage is computed here, in one place, from the state of every service
-// asked: a book is covered when its service's reply is in the answer, and is
-// named as missing otherwise. Internal to package query.
+// The only place that computes coverage, from the state of every requested
+// service: a book is covered if its service's reply is in the answer, and is
+// listed as missing otherwise. Internal to package query.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_ANSWERBUILDER_H
@@ -14,14 +14,15 @@
 
 namespace shallot {
 
-/// The coverage of \p Subs. A service that still waits counts as missing, with
-/// TransferTimeout; \p Waited is how long it was given.
+/// Returns the coverage of \p Subs. A service without a reply counts as missing
+/// with TransferTimeout; \p Waited is how long its reply was awaited.
 Coverage coverageOf(std::span<const SubQuery> Subs, Duration Waited);
 
-/// The bodies of the answered services, moved out of \p Subs.
+/// Moves the bodies of the answered services out of \p Subs.
 std::vector<ServiceRecords> takeRecords(std::span<SubQuery> Subs);
 
-/// "3 of 25 books are missing: legacy-a, legacy-b, legacy-c".
+/// Returns, for example, "3 of 25 books or pools are missing: legacy-a,
+/// legacy-b, legacy-c".
 std::string missingText(const Coverage &C);
 
 } // namespace shallot
--- a/packages/query/LatencyModel.cpp
+++ b/packages/query/LatencyModel.cpp
@@ -7,23 +7,23 @@
 namespace {
 
 constexpr Duration LowestEdge = Micros(16);
-constexpr std::size_t StepCount =
-    LatencyHistogram::StepsPerOctave * LatencyHistogram::Octaves;
+constexpr std::size_t BucketCount =
+    LatencyHistogram::BucketsPerOctave * LatencyHistogram::Octaves;
 
-std::size_t stepOf(Duration Took) {
+std::size_t bucketOf(Duration Took) {
   if (Took <= LowestEdge)
     return 0;
   double Ratio = static_cast<double>(Took.count()) /
                  static_cast<double>(LowestEdge.count());
-  auto Step = static_cast<std::size_t>(std::log2(Ratio) *
-                                       LatencyHistogram::StepsPerOctave);
-  return std::min(Step, StepCount - 1);
+  auto Bucket = static_cast<std::size_t>(std::log2(Ratio) *
+                                         LatencyHistogram::BucketsPerOctave);
+  return std::min(Bucket, BucketCount - 1);
 }
 
-/// The latency \p Part of the way through \p Step.
-Duration within(std::size_t Step, double Part) {
+/// Returns the latency at the fraction \p Part of \p Bucket, on a log scale.
+Duration interpolate(std::size_t Bucket, double Part) {
   double Octaves =
-      (static_cast<double>(Step) + Part) / LatencyHistogram::StepsPerOctave;
+      (static_cast<double>(Bucket) + Part) / LatencyHistogram::BucketsPerOctave;
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(LowestEdge.count()) * std::exp2(Octaves)));
 }
@@ -31,8 +31,8 @@
 } // namespace
 
 void LatencyHistogram::add(Duration Took) {
-  ++Counts[stepOf(Took)];
-  if (++Total < AgeAt)
+  ++Counts[bucketOf(Took)];
+  if (++Total < DecayThreshold)
     return;
   Total = 0;
   for (std::uint16_t &C : Counts) {
@@ -44,24 +44,24 @@
 std::optional<Duration> LatencyHistogram::quantile(double Q) const {
   if (Total < MinSamples)
     return std::nullopt;
-  double Wanted = Q * Total;
-  double Seen = 0;
-  for (std::size_t Step = 0; Step < StepCount; ++Step) {
-    if (Counts[Step] > 0 && Seen + Counts[Step] >= Wanted)
-      return within(Step, (Wanted - Seen) / Counts[Step]);
-    Seen += Counts[Step];
+  double TargetCount = Q * Total;
+  double Cumulative = 0;
+  for (std::size_t Bucket = 0; Bucket < BucketCount; ++Bucket) {
+    if (Counts[Bucket] > 0 && Cumulative + Counts[Bucket] >= TargetCount)
+      return interpolate(Bucket, (TargetCount - Cumulative) / Counts[Bucket]);
+    Cumulative += Counts[Bucket];
   }
-  return within(StepCount - 1, 1);
+  return interpolate(BucketCount - 1, 1);
 }
 
 void LatencyModel::add(const Tenant &Owner, const ServiceName &Service,
                        Duration Took) {
-  auto &OfTenant = Services[Owner];
-  auto It = OfTenant.find(Service);
-  if (It == OfTenant.end()) {
+  auto &TenantServices = Services[Owner];
+  auto It = TenantServices.find(Service);
+  if (It == TenantServices.end()) {
     if (Count >= MaxServices)
       return;
-    It = OfTenant.try_emplace(Service).first;
+    It = TenantServices.try_emplace(Service).first;
     ++Count;
   }
   It->second.add(Took);
@@ -69,11 +69,11 @@
 
 const LatencyHistogram *LatencyModel::find(const Tenant &Owner,
                                            const ServiceName &Service) const {
-  auto OfTenant = Services.find(Owner);
-  if (OfTenant == Services.end())
+  auto TenantServices = Services.find(Owner);
+  if (TenantServices == Services.end())
     return nullptr;
-  auto It = OfTenant->second.find(Service);
-  return It == OfTenant->second.end() ? nullptr : &It->second;
+  auto It = TenantServices->second.find(Service);
+  return It == TenantServices->second.end() ? nullptr : &It->second;
 }
 
 std::optional<Duration> LatencyModel::quantile(const Tenant &Owner,
@@ -84,14 +84,14 @@
 }
 
 void LatencyModel::retain(const Config &C) {
-  for (auto &[Owner, OfTenant] : Services)
-    std::erase_if(OfTenant, [&, &T = Owner](const auto &Entry) {
+  for (auto &[Owner, TenantServices] : Services)
+    std::erase_if(TenantServices, [&, &T = Owner](const auto &Entry) {
       return C.find(T, Entry.first).Svc == nullptr;
     });
   std::erase_if(Services, [](const auto &E) { return E.second.empty(); });
   Count = 0;
-  for (const auto &[Owner, OfTenant] : Services)
-    Count += OfTenant.size();
+  for (const auto &[Owner, TenantServices] : Services)
+    Count += TenantServices.size();
 }
 
 } // namespace shallot
--- a/packages/query/LatencyModel.h
+++ b/packages/query/LatencyModel.h
@@ -1,8 +1,8 @@
-//===- LatencyModel.h - How long a service usually takes --------*- C++ -*-===//
+//===- LatencyModel.h - Latency distribution of each service ----*- C++ -*-===//
 //
-// One log-spaced histogram for each service, halved at a fixed number of
-// samples, so that quantiles follow the last few thousand replies. Hedges are
-// timed by it.
+// One log-spaced histogram per service. Its counts are halved at a fixed number
+// of samples, so that quantiles follow the last few thousand replies. The hedge
+// delay is a quantile of it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_LATENCYMODEL_H
@@ -16,25 +16,25 @@
 
 namespace shallot {
 
-/// Latencies of one service, newest weighing most.
+/// Latencies of one service; recent samples weigh more than old ones.
 class LatencyHistogram {
 public:
-  /// Below this many samples a quantile says nothing.
+  /// quantile() returns nothing below this many samples.
   static constexpr unsigned MinSamples = 20;
-  /// At this many the counts are halved: about 5 s of a service that gets 400
-  /// requests a second.
-  static constexpr unsigned AgeAt = 2048;
-  static constexpr std::size_t StepsPerOctave = 8; ///< Steps of about 9%.
-  static constexpr std::size_t Octaves = 21;       ///< 16 us to 33 s.
+  /// Number of samples at which all counts are halved: about 5 s of a service
+  /// that receives 400 requests per second.
+  static constexpr unsigned DecayThreshold = 2048;
+  static constexpr std::size_t BucketsPerOctave = 8; ///< Bucket width about 9%.
+  static constexpr std::size_t Octaves = 21;         ///< 16 us to 33 s.
 
   void add(Duration Took);
-  /// The latency that a share \p Q of replies stays under, interpolated within
-  /// its step, or nothing below MinSamples.
+  /// Returns the \p Q quantile, interpolated within its bucket, or nothing
+  /// below MinSamples.
   std::optional<Duration> quantile(double Q) const;
   unsigned samples() const { return Total; }
 
 private:
-  std::array<std::uint16_t, StepsPerOctave * Octaves> Counts{};
+  std::array<std::uint16_t, BucketsPerOctave * Octaves> Counts{};
   unsigned Total = 0;
 };
 
@@ -45,7 +45,7 @@
   void add(const Tenant &Owner, const ServiceName &Service, Duration Took);
   std::optional<Duration> quantile(const Tenant &Owner,
                                    const ServiceName &Service, double Q) const;
-  /// Forgets services that \p C does not have.
+  /// Removes services that are not in \p C.
   void retain(const Config &C);
 
 private:
--- a/packages/query/QueryAnswer.h
+++ b/packages/query/QueryAnswer.h
@@ -1,8 +1,8 @@
-//===- QueryAnswer.h - What a caller gets for a search ----------*- C++ -*-===//
+//===- QueryAnswer.h - The result of one search ----------------*- C++ -*-===//
 //
-// Records of one snapshot and a truthful account of what they cover. Coverage
-// is derived from the replies that were used and from nothing else, so it
-// cannot say "complete" when a service gave none.
+// Records of one snapshot and the coverage that they provide. Coverage is
+// derived only from the replies in the answer, so it cannot report "complete"
+// when a service returned nothing.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_QUERYANSWER_H
@@ -15,32 +15,32 @@
 
 namespace shallot {
 
-/// A book or pool that the answer does not cover, and why.
+/// A book or pool that the answer does not cover, and the reason.
 struct MissingBook {
   std::string Book;
   ServiceName Service;
   ResultCode Reason = ResultCode::NoReplica;
-  std::string Text; ///< For people: what happened at that service.
+  std::string Text; ///< Human-readable description of the failure.
 
   friend bool operator==(const MissingBook &, const MissingBook &) = default;
 };
 
-/// How much of what was asked is in the answer.
+/// The part of the requested services and books that the answer covers.
 struct Coverage {
   std::size_t ServicesAsked = 0;
   std::size_t ServicesAnswered = 0;
   std::size_t BooksAsked = 0;
   std::size_t BooksAnswered = 0;
-  std::vector<MissingBook> Missing; ///< In the order of the services asked.
+  std::vector<MissingBook> Missing; ///< In the order of the request.
 
   bool complete() const { return Missing.empty(); }
-  /// Answered books as a share of those asked, 0 to 1.
+  /// Returns the answered share of the requested books, 0 to 1.
   double share() const;
 
   friend bool operator==(const Coverage &, const Coverage &) = default;
 };
 
-/// The body of one service's reply that went into the answer.
+/// The body of one service's reply, as included in the answer.
 struct ServiceRecords {
   ServiceName Service;
   UpstreamId From;
@@ -50,21 +50,22 @@
                          const ServiceRecords &) = default;
 };
 
-/// What one search cost the upstreams.
+/// Requests that one search sent to upstreams, by kind.
 struct QueryCost {
-  unsigned FirstSends = 0; ///< One for each service asked.
+  unsigned FirstSends = 0; ///< One for each requested service.
   unsigned Hedges = 0;
   unsigned Retries = 0;
-  /// The same pin at another upstream, after a refusal that cost no upstream
-  /// any work: a 409, or no daemon with a free slot.
+  /// Requests for the same pin sent to another upstream after a refusal that
+  /// cost no upstream any work: a 409, or no daemon with a free slot. They do
+  /// not draw on the retry budget.
   unsigned Reasks = 0;
-  unsigned Restarts = 0; ///< Sub-requests of a second run, newer snapshot.
-  unsigned Crashed = 0;  ///< Upstreams whose process ended while they had it.
-  unsigned Unseen = 0;   ///< Of all of these, those that no upstream saw.
+  unsigned Restarts = 0; ///< Sub-requests sent again for a newer snapshot.
+  unsigned Crashed = 0;  ///< Upstreams whose process exited during the request.
+  unsigned NotReceived = 0; ///< Requests above that no upstream received.
 
-  /// An upstream saw it, or may have.
+  /// True if an upstream received a request of this search, or may have.
   bool reachedUpstreams() const {
-    return FirstSends + Hedges + Retries + Reasks + Restarts > Unseen;
+    return FirstSends + Hedges + Retries + Reasks + Restarts > NotReceived;
   }
 
   friend bool operator==(const QueryCost &, const QueryCost &) = default;
@@ -75,14 +76,14 @@
   /// NoReplica, WouldMissDeadline, CallerGone, ReplicasCrashed or
   /// RequestCrashes.
   ResultCode Code = ResultCode::Ok;
-  std::string Text; ///< For people, when Code is not Ok.
-  /// The one snapshot of all records; 0.0 when nothing answered.
+  std::string Text; ///< Human-readable, when Code is not Ok.
+  /// The snapshot of all records; 0.0 if no service answered.
   Snapshot Served;
-  /// In the order of the services asked. Empty for every code but Ok and
+  /// In the order of the requested services. Empty unless Code is Ok or
   /// PartialCoverage.
   std::vector<ServiceRecords> Records;
   Coverage Covered;
-  Duration RetryAfter{0}; ///< When to come back; 0: not said.
+  Duration RetryAfter{0}; ///< 0 if none is suggested.
   QueryCost Cost;
   Duration Took{0};
 
--- a/packages/query/QueryCaution.cpp
+++ b/packages/query/QueryCaution.cpp
@@ -1,4 +1,4 @@
-// What a search holds back while it may be what crashes upstreams.
+// Limits on what a search sends while it is suspected of crashing upstreams.
 #include "query/QueryMachine.h"
 
 #include <algorithm>
@@ -11,18 +11,20 @@
                              [](const SubQuery &Sub) { return Sub.hasOpen(); });
 }
 
-/// The failure: one search crashes whatever runs it. Retried for each service
-/// that it lost, and hedged, it ends all upstreams in one attempt; so it is at
-/// one upstream at a time until a run of it ends well.
-bool QueryMachine::careful() const {
+/// A search may crash every upstream that runs it. Retries for each service
+/// that it lost, and hedges, would then crash all upstreams within one request.
+/// Therefore a suspected search is sent only when no other attempt is open,
+/// until an attempt succeeds.
+bool QueryMachine::isSuspect() const {
   bool Suspected = Spec.Care != Caution::None || Sender->cost().Crashed > 0;
-  return Suspected && !AnyRunEndedWell;
+  return Suspected && !AnyAttemptSucceeded;
 }
 
-/// Nothing more of it is sent. What is still open may end well: upstreams of
-/// many services may end at one moment for another reason.
-bool QueryMachine::crashesEnough() const {
-  if (Finished || !careful() || anyOpen())
+/// True if nothing more of the search may be sent. Open attempts are awaited
+/// first, because one may succeed: upstreams of many services can exit at the
+/// same time for another reason.
+bool QueryMachine::crashLimitReached() const {
+  if (Finished || !isSuspect() || anyOpen())
     return false;
   unsigned Crashed = Sender->cost().Crashed;
   if (Spec.Care == Caution::OneSend)
@@ -30,8 +32,8 @@
   return Crashed > 0 && Spec.CrashedBefore + Crashed >= EnoughCrashes;
 }
 
-bool QueryMachine::mustWait() const {
-  return careful() && (anyOpen() || crashesEnough());
+bool QueryMachine::mustDefer() const {
+  return isSuspect() && (anyOpen() || crashLimitReached());
 }
 
 void QueryMachine::holdBack(std::size_t I, TraceKind Kind, Instant Now) {
@@ -42,24 +44,25 @@
   Sender->trace(TraceKind::HeldBack, Sub, Now);
 }
 
-/// Sends what was held back: all of it, or while careful() one, when nothing
-/// else of the search is open.
-void QueryMachine::sendHeld(Instant Now) {
+/// Sends the held-back requests: all of them, or, while the search is
+/// suspected, one at a time when no other attempt is open.
+void QueryMachine::sendHeldBack(Instant Now) {
   if (!AnyHeldBack)
     return;
-  std::size_t First = below(Tools.Rng, Subs.size());
+  std::size_t First = below(Context.Rng, Subs.size());
   for (std::size_t N = 0; N < Subs.size(); ++N) {
     std::size_t I = (First + N) % Subs.size();
     if (!Subs[I].HeldBack || !Subs[I].waiting())
       continue;
-    if (mustWait())
+    if (mustDefer())
       return;
     sendAgain(I, *std::exchange(Subs[I].HeldBack, std::nullopt), Now);
   }
   AnyHeldBack = false;
 }
 
-/// What was free when it was held back may not be any more.
+/// Selects an upstream again, because the one selected before the request was
+/// held back may no longer be usable.
 void QueryMachine::sendAgain(std::size_t I, TraceKind Kind, Instant Now) {
   SubQuery &Sub = Subs[I];
   bool Time = FinishBy - Now >= MinUsefulTime;
@@ -69,19 +72,19 @@
   ResultCode Why =
       Sub.Reason == ResultCode::Ok ? ResultCode::NoReplica : Sub.Reason;
   giveUp(Sub, Why,
-         fmt::format("{}: asked late, since upstreams crashed under this "
+         fmt::format("{}: deferred because upstreams crashed during this "
                      "search; no other replica is usable",
                      Sub.name().str()),
          Now);
 }
 
-/// The answer of a search that is kept from the upstreams that are left.
+/// Finishes a search that is not sent to the remaining upstreams.
 void QueryMachine::finishSuspect(Instant Now) {
   for (SubQuery &Sub : Subs)
     if (Sub.waiting())
       giveUp(Sub,
              Sub.Reason == ResultCode::Ok ? ResultCode::NoReplica : Sub.Reason,
-             fmt::format("{}: not asked, since upstreams crashed under this "
+             fmt::format("{}: not sent because upstreams crashed during this "
                          "search",
                          Sub.name().str()),
              Now);
--- a/packages/query/QueryEnd.cpp
+++ b/packages/query/QueryEnd.cpp
@@ -1,4 +1,4 @@
-// How one search ends.
+// Completion of a search: result code, Retry-After and answer.
 #include "query/AnswerBuilder.h"
 #include "query/QueryMachine.h"
 
@@ -18,8 +18,9 @@
 }
 
 bool QueryMachine::provenNotRun() const {
-  return std::ranges::none_of(
-      Subs, [](const SubQuery &Sub) { return Sub.EverRan || Sub.hasOpen(); });
+  return std::ranges::none_of(Subs, [](const SubQuery &Sub) {
+    return Sub.MayHaveRun || Sub.hasOpen();
+  });
 }
 
 ResultCode QueryMachine::codeAtEnd(bool ByTime) const {
@@ -37,12 +38,13 @@
                      : ResultCode::UpstreamUnreachable;
 }
 
-/// When to come back: what upstreams said, else a second; a little later at
-/// random, so that callers refused together do not return together.
+/// The longest delay suggested by an upstream, else DefaultRetryAfter of 1 s,
+/// plus random jitter of up to a quarter, so that callers refused together do
+/// not retry at the same time.
 Duration QueryMachine::retryAfter() {
   Duration Suggested =
-      ToldRetryAfter > Duration{0} ? ToldRetryAfter : DefaultRetryAfter;
-  double Spread = 1 + uniform01(Tools.Rng) / 4;
+      UpstreamRetryAfter > Duration{0} ? UpstreamRetryAfter : DefaultRetryAfter;
+  double Spread = 1 + uniform01(Context.Rng) / 4;
   return clampRetryAfter(Duration(static_cast<Duration::rep>(
       static_cast<double>(Suggested.count()) * Spread)));
 }
@@ -53,14 +55,15 @@
   A.Covered = coverageOf(Subs, Now - Begin);
   for (SubQuery &Sub : Subs)
     Sender->cancelOpen(Sub, Now, Out);
-  bool Given = Code == ResultCode::Ok || Code == ResultCode::PartialCoverage;
+  bool HasAnswer =
+      Code == ResultCode::Ok || Code == ResultCode::PartialCoverage;
   if (Answered > 0)
     A.Served = *Pin;
-  if (Given)
+  if (HasAnswer)
     A.Records = takeRecords(Subs);
   else if (Code != ResultCode::ReplicasCrashed &&
            Code != ResultCode::RequestCrashes)
-    A.RetryAfter = retryAfter(); // Nobody is asked to come back with those.
+    A.RetryAfter = retryAfter(); // A search that crashes is not to be retried.
   if (Code != ResultCode::Ok)
     A.Text = A.Covered.complete() ? std::string(infoOf(Code).Text)
                                   : missingText(A.Covered);
--- a/packages/query/QueryMachine.cpp
+++ b/packages/query/QueryMachine.cpp
@@ -9,7 +9,7 @@
 
 QueryMachine::QueryMachine(QuerySpec S, QueryContext T,
                            std::vector<const Service *> A)
-    : Spec(std::move(S)), Tools(std::move(T)), Targets(std::move(A)),
+    : Spec(std::move(S)), Context(std::move(T)), Targets(std::move(A)),
       Subs(Targets.size()) {
   for (std::size_t I = 0; I < Subs.size(); ++I)
     Subs[I].Svc = Targets[I];
@@ -17,17 +17,17 @@
 }
 
 QueryMachine::~QueryMachine() {
-  // A run dropped before its end would leave its requests outstanding in the
-  // table for good, and the upstreams asked would look busy for ever.
+  // A run destroyed before it finished would leave its requests outstanding in
+  // the replica table, and their upstreams would look busy indefinitely.
   if (Sender && !Finished)
     for (SubQuery &Sub : Subs)
       Sender->cancelOpen(Sub, LastNow, Out);
 }
 
 ExtraBudgets &QueryMachine::budgets() {
-  return Tools.Budgets.of(Spec.Owner, Spec.Class,
-                          Spec.Policy.HedgeBudgetPercent,
-                          Spec.Policy.RetryBudgetPercent);
+  return Context.Budgets.of(Spec.Owner, Spec.Class,
+                            Spec.Policy.HedgeBudgetPercent,
+                            Spec.Policy.RetryBudgetPercent);
 }
 
 QueryCommands QueryMachine::takeCommands() {
@@ -36,16 +36,16 @@
 
 QueryCommands QueryMachine::start(Instant Now) {
   Begin = LastNow = Now;
-  Duration Given = Spec.Deadline - Now;
+  Duration Available = Spec.Deadline - Now;
   FinishBy =
-      Spec.Deadline - std::min(MaxAnswerMargin, Given / AnswerMarginPart);
+      Spec.Deadline - std::min(MaxAnswerMargin, Available / AnswerMarginPart);
   if (Spec.Policy.Coverage == CoverageRule::Partial &&
       Spec.Policy.PartialAfter > Duration{0})
     PartialAt = Now + Spec.Policy.PartialAfter;
-  if (Tools.Traces)
-    Tools.Traces->begin(Spec.Id, Spec.Owner, Spec.Class);
-  Sender.emplace(Spec, Tools, Begin, FinishBy);
-  if (Given < MinUsefulTime) {
+  if (Context.Traces)
+    Context.Traces->begin(Spec.Id, Spec.Owner, Spec.Class);
+  Sender.emplace(Spec, Context, Begin, FinishBy);
+  if (Available < MinUsefulTime) {
     finish(ResultCode::WouldMissDeadline, Now);
     return takeCommands();
   }
@@ -58,9 +58,9 @@
 }
 
 SubAttempt *QueryMachine::openAttempt(const AttemptKey &Key, std::size_t &I) {
-  // A reply counts only for the attempt of exactly this key that is still open
-  // here. A late, doubled or mislabelled one finds none and is dropped, so it
-  // can reach neither another request nor another service of this one.
+  // A reply is accepted only for an open attempt with exactly this key. A late,
+  // duplicate or mislabelled reply matches none and is discarded, so it cannot
+  // be attributed to another request or to another service of this one.
   auto Place = Sender ? Sender->find(Key) : std::nullopt;
   if (!Place)
     return nullptr;
@@ -82,47 +82,47 @@
   if (!A)
     return {};
   Sender->close(Subs[I], *A, Reply, Now);
-  take(I, *A, Reply, Now);
+  handleReply(I, *A, Reply, Now);
   progress(Now);
   schedule(Now);
   return takeCommands();
 }
 
-void QueryMachine::take(std::size_t I, const SubAttempt &A,
-                        const SubReply &Reply, Instant Now) {
+void QueryMachine::handleReply(std::size_t I, const SubAttempt &A,
+                               const SubReply &Reply, Instant Now) {
   SubQuery &Sub = Subs[I];
-  ToldRetryAfter = std::max(ToldRetryAfter, Reply.RetryAfter);
+  UpstreamRetryAfter = std::max(UpstreamRetryAfter, Reply.RetryAfter);
   bool Ok = Reply.Code == ResultCode::Ok;
-  AnyRunEndedWell = AnyRunEndedWell || Ok;
-  if (Ok && settling()) {
-    Sub.Held = Reply;
+  AnyAttemptSucceeded = AnyAttemptSucceeded || Ok;
+  if (Ok && awaitingPin()) {
+    Sub.UnpinnedReply = Reply;
     Sub.From = A.Target;
     Sender->cancelOpen(Sub, Now, Out);
-    if (SettleBy == Never)
-      SettleBy = Now + std::min(SettleWait, (FinishBy - Now) / 2);
+    if (PinDeadline == Never)
+      PinDeadline = Now + std::min(MaxPinWait, (FinishBy - Now) / 2);
     return;
   }
   if (Ok && Reply.Served == *Pin)
-    return accept(Sub, A.Target, Reply, Now);
-  noteFailure(Sub, A.Target, Reply);
-  // Sent before there was a pin, it was not sent for this one.
+    return acceptReply(Sub, A.Target, Reply, Now);
+  recordFailure(Sub, A.Target, Reply);
+  // An attempt sent before the pin was chosen does not count as tried for it.
   if (Ok && !A.Pinned)
     Sub.Tried.clear();
   if (Sub.hasOpen())
     return;
   bool OtherSnapshot = Ok || Reply.Code == ResultCode::UpstreamVersionGone;
-  if (OtherSnapshot && !settling())
+  if (OtherSnapshot && !awaitingPin())
     return reask(I, Now);
-  if (noUpstreamSaw(Reply.Code) && reroute(I, Now))
+  if (refusedBeforeUpstream(Reply.Code) && reroute(I, Now))
     return;
   retry(I, Now);
 }
 
-/// Sends to another upstream after a refusal that no upstream saw, such as that
-/// of a slot's holder. It is not paid from the retry budget, since it adds
-/// nothing to what the upstreams do: with it, the slots that rest after a
-/// daemon has left would use up the budget and answers would come back partial.
-/// Each upstream is asked once, so this ends.
+/// Sends to another upstream after a refusal that no upstream received, such as
+/// that of a slot holder. This does not draw on the retry budget, because it
+/// adds no load to the upstreams: otherwise the slots that are blocked after a
+/// daemon has left would exhaust the budget and answers would be partial. Each
+/// upstream is tried at most once, so this terminates.
 bool QueryMachine::reroute(std::size_t I, Instant Now) {
   SubQuery &Sub = Subs[I];
   if (!Spec.Parts.Retry || FinishBy - Now < MinUsefulTime)
@@ -133,26 +133,26 @@
   return To.has_value();
 }
 
-void QueryMachine::accept(SubQuery &Sub, const UpstreamId &From,
-                          const SubReply &Reply, Instant Now) {
+void QueryMachine::acceptReply(SubQuery &Sub, const UpstreamId &From,
+                               const SubReply &Reply, Instant Now) {
   Sub.State = SubState::Answered;
   Sub.From = From;
   Sub.Body = Reply.Body;
-  Sub.Held.reset();
+  Sub.UnpinnedReply.reset();
   ++Answered;
   --Waiting;
   Sender->cancelOpen(Sub, Now, Out);
 }
 
-void QueryMachine::noteFailure(SubQuery &Sub, const UpstreamId &From,
-                               const SubReply &Reply) {
+void QueryMachine::recordFailure(SubQuery &Sub, const UpstreamId &From,
+                                 const SubReply &Reply) {
   if (Reply.Code != ResultCode::Ok) {
     Sub.Reason = Reply.Code;
     Sub.Text = fmt::format("{}: {}", From.str(), infoOf(Reply.Code).Text);
     return;
   }
   Sub.Reason = ResultCode::UpstreamVersionGone;
-  Sub.Text = fmt::format("{}: answered from {}.{}, the query is from {}.{}",
+  Sub.Text = fmt::format("{}: answered from snapshot {}.{}, the pin is {}.{}",
                          From.str(), Reply.Served.IndexVersion,
                          Reply.Served.PartitionVersion, Pin->IndexVersion,
                          Pin->PartitionVersion);
@@ -162,31 +162,32 @@
                                                Instant Now) {
   if (auto To = Sender->pick(Sub, Pin, Now))
     return To;
-  // A connection that closed or went silent says nothing against the replica:
-  // with no other to ask, the same one is asked again on a new connection.
+  // A closed or silent connection is no evidence against the replica: if there
+  // is no other, the same one is tried again on a new connection.
   if (Sub.Reason != ResultCode::ConnectionClosed &&
       Sub.Reason != ResultCode::SilentConnection)
     return std::nullopt;
-  SubQuery Afresh;
-  Afresh.Svc = Sub.Svc;
-  return Sender->pick(Afresh, Pin, Now);
+  SubQuery WithoutExclusions;
+  WithoutExclusions.Svc = Sub.Svc;
+  return Sender->pick(WithoutExclusions, Pin, Now);
 }
 
 void QueryMachine::retry(std::size_t I, Instant Now) {
   SubQuery &Sub = Subs[I];
-  bool Allowed = Spec.Parts.Retry && Sub.Paid < MaxAttemptsPerService &&
+  bool Allowed = Spec.Parts.Retry &&
+                 Sub.CountedAttempts < MaxAttemptsPerService &&
                  FinishBy - Now >= MinUsefulTime;
   if (!Allowed)
     return giveUp(Sub, Sub.Reason, Sub.Text, Now);
   auto To = pickForRetry(Sub, Now);
-  if (!To && Pin && Tools.Replicas.pinGone(*Sub.Svc, *Pin, Now))
+  if (!To && Pin && Context.Replicas.pinGone(*Sub.Svc, *Pin, Now))
     return pinVanished(I, Now);
   if (!To)
     return giveUp(Sub, Sub.Reason, Sub.Text + "; no other replica is usable",
                   Now);
   if (!budgets().Retries.trySpend()) {
     Sender->trace(TraceKind::RetryDenied, Sub, Now);
-    return giveUp(Sub, Sub.Reason, Sub.Text + "; the retry budget is used up",
+    return giveUp(Sub, Sub.Reason, Sub.Text + "; the retry budget is exhausted",
                   Now);
   }
   sendTo(I, *To, TraceKind::Retried, Now);
@@ -196,8 +197,9 @@
   SubQuery &Sub = Subs[I];
   if (FinishBy - Now < MinUsefulTime)
     return giveUp(Sub, ResultCode::SnapshotGone, Sub.Text, Now);
-  // Each upstream is asked once for a pin, so this ends; it is not paid from
-  // the retry budget because the refusals cost the upstreams nothing.
+  // Each upstream is tried at most once per pin, so this terminates. It does
+  // not draw on the retry budget because the refusals cost the upstreams no
+  // work.
   if (auto To = Sender->pick(Sub, Pin, Now))
     return sendTo(I, *To, TraceKind::Reasked, Now);
   pinVanished(I, Now);
@@ -208,7 +210,7 @@
   Sub.State = SubState::Missing;
   Sub.Reason = Reason;
   Sub.Text = std::move(Text);
-  Sub.Held.reset();
+  Sub.UnpinnedReply.reset();
   --Waiting;
   Sender->trace(TraceKind::GaveUp, Sub, Now, Reason);
 }
@@ -218,11 +220,11 @@
     return {};
   LastNow = Now;
   Scheduled = Never;
-  if (settling() && Now >= std::min(SettleBy, PartialAt))
-    settle(Now);
+  if (awaitingPin() && Now >= std::min(PinDeadline, PartialAt))
+    choosePinFromReplies(Now);
   if (Now < FinishBy)
     for (std::size_t I = 0; I < Subs.size(); ++I) {
-      watchSilence(I, Now);
+      checkSilence(I, Now);
       hedge(I, Now);
     }
   progress(Now);
@@ -240,10 +242,10 @@
 void QueryMachine::progress(Instant Now) {
   if (Finished)
     return;
-  if (settling() && allSpoke())
-    settle(Now);
-  sendHeld(Now);
-  if (crashesEnough())
+  if (awaitingPin() && allReplied())
+    choosePinFromReplies(Now);
+  sendHeldBack(Now);
+  if (crashLimitReached())
     return finishSuspect(Now);
   if (needsFull() && anyMissing())
     return finish(codeAtEnd(false), Now);
@@ -256,11 +258,11 @@
 }
 
 Instant QueryMachine::nextWake() const {
-  Instant Next = std::min(FinishBy, SettleBy);
+  Instant Next = std::min(FinishBy, PinDeadline);
   if (PartialAt > LastNow)
     Next = std::min(Next, PartialAt);
   for (const SubQuery &Sub : Subs) {
-    if (!Sub.waiting() || Sub.Held)
+    if (!Sub.waiting() || Sub.UnpinnedReply)
       continue;
     Next = std::min(Next, Sub.HedgeAt);
     for (const SubAttempt &A : Sub.Attempts)
--- a/packages/query/QueryMachine.h
+++ b/packages/query/QueryMachine.h
@@ -1,11 +1,11 @@
 //===- QueryMachine.h - The states of one search ----------------*- C++ -*-===//
 //
-// What QueryRun does behind its public face. One search goes through
+// The implementation of QueryRun. One search goes through these states:
 //
 //   start: choose a pin -> send to every service
-//   (no pin known: settle on one when the first replies have come)
+//   (no snapshot known: choose the pin from the first replies)
 //   replies, hedges, retries, at most one restart on another pin
-//   finish: once, as soon as nothing better can come
+//   finish: once, as soon as the answer cannot improve
 //
 // Internal to package query.
 //
@@ -17,29 +17,30 @@
 
 namespace shallot {
 
-/// An answer leaves this much before the deadline, or a twentieth of it if that
-/// is less: it has to be written and read.
+/// An answer is sent this long before the deadline, or a twentieth of the time
+/// to the deadline if that is less, because it has to be written and read.
 inline constexpr Duration MaxAnswerMargin = Millis(5);
 inline constexpr int AnswerMarginPart = 20;
-/// With less time than this nothing is sent any more.
+/// No request is sent with less time left than this.
 inline constexpr Duration MinUsefulTime = Millis(1);
-/// Hedge delay of a service that has not been measured yet, at most a quarter
-/// of the time there is.
-inline constexpr Duration UnmeasuredHedgeDelay = Millis(50);
+/// Hedge delay of a service without measured latency, capped at a quarter of
+/// the remaining time.
+inline constexpr Duration DefaultHedgeDelay = Millis(50);
 inline constexpr Duration MinHedgeDelay = Millis(1);
 inline constexpr unsigned MaxHedgesPerService = 2;
-/// Below this many tokens a hedge waits a quarter of the delay longer.
+/// Below this many budget tokens a hedge is postponed by a quarter of its
+/// delay.
 inline constexpr double HedgeReserve = 8;
-/// How long replies without a pin wait for each other, at most.
-inline constexpr Duration SettleWait = Millis(20);
-/// A restart needs this much time at least, and twice the usual latency.
+/// Maximum wait for further unpinned replies before the pin is chosen.
+inline constexpr Duration MaxPinWait = Millis(20);
+/// A restart requires this much time, and twice the hedge quantile of latency.
 inline constexpr Duration MinRestartTime = Millis(10);
-/// What a refused caller is told when no upstream said when to come back.
+/// Retry-After for refused callers if no upstream suggested one.
 inline constexpr Duration DefaultRetryAfter = Seconds(1);
 
 class QueryMachine {
 public:
-  QueryMachine(QuerySpec Spec, QueryContext Tools,
+  QueryMachine(QuerySpec Spec, QueryContext Context,
                std::vector<const Service *> Targets);
   ~QueryMachine();
   QueryMachine(const QueryMachine &) = delete;
@@ -61,42 +62,42 @@
   void sendTo(std::size_t I, const Pick &To, TraceKind Kind, Instant Now);
   void armHedge(SubQuery &Sub, Instant Now);
   void hedge(std::size_t I, Instant Now);
-  void watchSilence(std::size_t I, Instant Now);
+  void checkSilence(std::size_t I, Instant Now);
 
-  // What a reply leads to.
+  // Reply handling.
   SubAttempt *openAttempt(const AttemptKey &Key, std::size_t &I);
-  void take(std::size_t I, const SubAttempt &A, const SubReply &Reply,
-            Instant Now);
-  void accept(SubQuery &Sub, const UpstreamId &From, const SubReply &Reply,
-              Instant Now);
-  void noteFailure(SubQuery &Sub, const UpstreamId &From,
-                   const SubReply &Reply);
+  void handleReply(std::size_t I, const SubAttempt &A, const SubReply &Reply,
+                   Instant Now);
+  void acceptReply(SubQuery &Sub, const UpstreamId &From, const SubReply &Reply,
+                   Instant Now);
+  void recordFailure(SubQuery &Sub, const UpstreamId &From,
+                     const SubReply &Reply);
   bool reroute(std::size_t I, Instant Now);
   void retry(std::size_t I, Instant Now);
   std::optional<Pick> pickForRetry(const SubQuery &Sub, Instant Now);
   void reask(std::size_t I, Instant Now);
   void giveUp(SubQuery &Sub, ResultCode Reason, std::string Text, Instant Now);
 
-  // Caution: it may be what crashes upstreams (QueryCaution.cpp).
+  // Limits for a search that may crash upstreams (QueryCaution.cpp).
   bool anyOpen() const;
-  bool careful() const;
-  bool crashesEnough() const;
-  bool mustWait() const;
+  bool isSuspect() const;
+  bool crashLimitReached() const;
+  bool mustDefer() const;
   void holdBack(std::size_t I, TraceKind Kind, Instant Now);
-  void sendHeld(Instant Now);
+  void sendHeldBack(Instant Now);
   void sendAgain(std::size_t I, TraceKind Kind, Instant Now);
   void finishSuspect(Instant Now);
 
   // The pin.
-  bool settling() const { return !Pin; }
-  bool allSpoke() const;
-  void settle(Instant Now);
-  Snapshot pinFromHeld(Instant Now) const;
+  bool awaitingPin() const { return !Pin; }
+  bool allReplied() const;
+  void choosePinFromReplies(Instant Now);
+  Snapshot pinFromUnpinnedReplies(Instant Now) const;
   void pinVanished(std::size_t I, Instant Now);
   bool mayRestart(const SubQuery &Sub, Instant Now) const;
   void restart(const Snapshot &On, Instant Now);
 
-  // The end.
+  // Completion.
   void progress(Instant Now);
   void finish(ResultCode Code, Instant Now);
   ResultCode codeAtEnd(bool ByTime) const;
@@ -111,21 +112,21 @@
   ExtraBudgets &budgets();
 
   QuerySpec Spec;
-  QueryContext Tools;
+  QueryContext Context;
   std::vector<const Service *> Targets;
   std::vector<SubQuery> Subs;
-  std::optional<SubSender> Sender; ///< From start() on.
+  std::optional<SubSender> Sender; ///< Set by start().
   std::optional<Snapshot> Pin;
   Instant Begin;
   Instant FinishBy;
   Instant PartialAt = Never;
-  Instant SettleBy = Never;
+  Instant PinDeadline = Never;
   Instant Scheduled = Never;
   Instant LastNow;
   std::size_t Waiting = 0;
   std::size_t Answered = 0;
-  Duration ToldRetryAfter{0};
-  bool AnyRunEndedWell = false;
+  Duration UpstreamRetryAfter{0};
+  bool AnyAttemptSucceeded = false;
   bool AnyHeldBack = false;
   bool Restarted = false;
   bool Finished = false;
--- a/packages/query/QueryPin.cpp
+++ b/packages/query/QueryPin.cpp
@@ -1,5 +1,5 @@
-// The pin of one search: chosen at the start, settled on from the first replies
-// when nothing is known yet, given up for another at most once.
+// The pin of one search: chosen at the start, or from the first replies if no
+// snapshot is known yet, and replaced by another at most once.
 #include "query/QueryMachine.h"
 #include "query/SnapshotChooser.h"
 
@@ -10,7 +10,7 @@
 
 void QueryMachine::choosePin(Instant Now) {
   TraceEvent E;
-  auto Choice = SnapshotChooser(Tools.Replicas).choose(Targets, Now);
+  auto Choice = SnapshotChooser(Context.Replicas).choose(Targets, Now);
   if (Choice)
     Pin = Choice->Pair;
   E.Kind = Choice ? TraceKind::PinChosen : TraceKind::AskedUnpinned;
@@ -19,69 +19,70 @@
   Sender->trace(std::move(E), Now);
 }
 
-bool QueryMachine::allSpoke() const {
+bool QueryMachine::allReplied() const {
   return std::ranges::all_of(Subs, [](const SubQuery &Sub) {
-    return !Sub.waiting() || Sub.Held.has_value();
+    return !Sub.waiting() || Sub.UnpinnedReply.has_value();
   });
 }
 
-Snapshot QueryMachine::pinFromHeld(Instant Now) const {
-  if (auto Choice = SnapshotChooser(Tools.Replicas).choose(Targets, Now))
+Snapshot QueryMachine::pinFromUnpinnedReplies(Instant Now) const {
+  if (auto Choice = SnapshotChooser(Context.Replicas).choose(Targets, Now))
     return Choice->Pair;
-  // All that answered is leaving: take the newest that came.
+  // All upstreams that answered are leaving: take the newest snapshot received.
   Snapshot Newest;
   for (const SubQuery &Sub : Subs)
-    if (Sub.Held)
-      Newest = std::max(Newest, Sub.Held->Served);
+    if (Sub.UnpinnedReply)
+      Newest = std::max(Newest, Sub.UnpinnedReply->Served);
   return Newest;
 }
 
-/// Replies that came without a pin are used only where they happen to be of the
-/// pin; the other services are asked again with it. So nothing can mix.
-void QueryMachine::settle(Instant Now) {
-  bool AnyHeld = std::ranges::any_of(
-      Subs, [](const SubQuery &Sub) { return Sub.Held.has_value(); });
-  SettleBy = Never;
-  if (!AnyHeld)
+/// Unpinned replies are used only if they are from the chosen pin; the other
+/// services are asked again with the pin. An answer thus never mixes snapshots.
+void QueryMachine::choosePinFromReplies(Instant Now) {
+  bool AnyUnpinnedReply = std::ranges::any_of(
+      Subs, [](const SubQuery &Sub) { return Sub.UnpinnedReply.has_value(); });
+  PinDeadline = Never;
+  if (!AnyUnpinnedReply)
     return;
-  Pin = pinFromHeld(Now);
+  Pin = pinFromUnpinnedReplies(Now);
   TraceEvent E;
   E.Kind = TraceKind::PinChosen;
   E.Pin = *Pin;
   Sender->trace(std::move(E), Now);
   for (std::size_t I = 0; I < Subs.size(); ++I) {
     SubQuery &Sub = Subs[I];
-    if (!Sub.Held)
+    if (!Sub.UnpinnedReply)
       continue;
-    SubReply Reply = *std::exchange(Sub.Held, std::nullopt);
+    SubReply Reply = *std::exchange(Sub.UnpinnedReply, std::nullopt);
     if (Reply.Served == *Pin) {
-      accept(Sub, Sub.From, Reply, Now);
+      acceptReply(Sub, Sub.From, Reply, Now);
       continue;
     }
     Sender->trace(TraceKind::NotUsed, Sub, Now);
-    // It was not refused, so it may well hold the pin: it can be asked again.
+    // The upstream did not refuse the pin, so it may hold it and can be tried
+    // again.
     Sub.Tried.clear();
-    noteFailure(Sub, Sub.From, Reply);
+    recordFailure(Sub, Sub.From, Reply);
     reask(I, Now);
   }
 }
 
 bool QueryMachine::mayRestart(const SubQuery &Sub, Instant Now) const {
-  auto Usual = Tools.Latency.quantile(Spec.Owner, Sub.name(),
-                                      Spec.Conf->preset()->HedgeQuantile);
+  auto Usual = Context.Latency.quantile(Spec.Owner, Sub.name(),
+                                        Spec.Conf->preset()->HedgeQuantile);
   Duration Needed = std::max(MinRestartTime, Usual.value_or(Duration{0}) * 2);
   return !Restarted && FinishBy - Now >= Needed;
 }
 
-/// No upstream of this service holds the pin any more. Asking everything again
-/// on a snapshot that more services hold gives a whole answer where there is
-/// time; otherwise this service is missing. Mixing is never an option.
+/// Handles a service of which no upstream holds the pin any more. If there is
+/// time, all services are asked again for a snapshot that more services hold;
+/// otherwise this service is missing. An answer never mixes snapshots.
 void QueryMachine::pinVanished(std::size_t I, Instant Now) {
   SubQuery &Sub = Subs[I];
   Sender->trace(TraceKind::PinVanished, Sub, Now);
-  auto Choice = SnapshotChooser(Tools.Replicas).choose(Targets, Now);
+  auto Choice = SnapshotChooser(Context.Replicas).choose(Targets, Now);
   bool Better = Choice && Choice->Pair != *Pin;
-  if (Better && mayRestart(Sub, Now) && Tools.Restarts.trySpend())
+  if (Better && mayRestart(Sub, Now) && Context.Restarts.trySpend())
     return restart(Choice->Pair, Now);
   giveUp(Sub, ResultCode::SnapshotGone,
          fmt::format("no usable replica holds {}.{}, the snapshot of this "
@@ -99,10 +100,10 @@
   Sender->trace(std::move(E), Now);
   for (std::size_t I = 0; I < Subs.size(); ++I) {
     Sender->cancelOpen(Subs[I], Now, Out);
-    bool EverRan = Subs[I].EverRan;
+    bool MayHaveRun = Subs[I].MayHaveRun;
     Subs[I] = SubQuery();
     Subs[I].Svc = Targets[I];
-    Subs[I].EverRan = EverRan;
+    Subs[I].MayHaveRun = MayHaveRun;
   }
   Waiting = Subs.size();
   Answered = 0;
--- a/packages/query/QueryRun.cpp
+++ b/packages/query/QueryRun.cpp
@@ -35,27 +35,27 @@
   return Targets;
 }
 
-bool namedTwice(std::vector<const Service *> Targets) {
+bool hasDuplicates(std::vector<const Service *> Targets) {
   std::ranges::sort(Targets);
   return std::ranges::adjacent_find(Targets) != Targets.end();
 }
 
 } // namespace
 
-Result<QueryRun> QueryRun::make(QuerySpec Spec, QueryContext Tools) {
+Result<QueryRun> QueryRun::make(QuerySpec Spec, QueryContext Context) {
   if (Spec.Services.empty())
     return fail(ResultCode::MissingField,
-                "services: name at least one service to search");
+                "services: list at least one service to search");
   if (Spec.Services.size() > MaxServicesPerQuery)
     return fail(ResultCode::TooManyServices,
-                fmt::format("services: {} are named, at most {} are allowed",
+                fmt::format("services: {} given, at most {} are allowed",
                             Spec.Services.size(), MaxServicesPerQuery));
   BOOST_LEAF_AUTO(Targets, findServices(Spec));
-  if (namedTwice(Targets))
+  if (hasDuplicates(Targets))
     return fail(ResultCode::AlreadyExists,
-                "services: a service is named twice; name each once");
+                "services: a service is listed twice; list each once");
   return QueryRun(std::unique_ptr<Impl>(
-      new Impl{{std::move(Spec), Tools, std::move(Targets)}}));
+      new Impl{{std::move(Spec), Context, std::move(Targets)}}));
 }
 
 QueryRun::QueryRun(std::unique_ptr<Impl> I) : I(std::move(I)) {}
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -1,21 +1,21 @@
 //===- QueryRun.h - One search, from fan-out to answer ----------*- C++ -*-===//
 //
-// A state machine without I/O: its owner reports what happened and carries out
-// the commands that come back.
+// A state machine without I/O: its owner reports events and executes the
+// commands that are returned.
 //
-//   auto Run = QueryRun::make(Spec, Tools);
-//   carryOut(Run.value().start(Now));
-//   ... carryOut(Run.value().onReply(Key, Reply, Now));
+//   auto Run = QueryRun::make(Spec, Context);
+//   execute(Run.value().start(Now));
+//   ... execute(Run.value().onReply(Key, Reply, Now));
 //
-// Rules that the machine keeps whatever the order of events:
-// - exactly one Finish, after which nothing follows;
-// - every record comes from one snapshot; a reply whose snapshot differs from
+// Invariants, for any order of events:
+// - exactly one Finish is emitted, and no command follows it;
+// - every record comes from one snapshot; a reply from a snapshot other than
 //   the pin is not used;
-// - a reply for an attempt that is not open here is ignored;
-// - a request that cannot be answered is answered at once, not at its deadline;
-// - from the first upstream that crashes under a search on, and until a run of
-//   it ends well, the search is at one upstream at a time; after EnoughCrashes
-//   it is given up (package quarantine).
+// - a reply to an attempt that is not open in this run is ignored;
+// - a search that can no longer succeed fails immediately, not at its deadline;
+// - after an upstream crashes while running the search, and until an attempt
+//   succeeds, a request is sent only when no other is open; after EnoughCrashes
+//   crashes the search is abandoned (package quarantine).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_QUERYRUN_H
@@ -34,22 +34,22 @@
 
 namespace shallot {
 
-/// Names one attempt in the whole fleet; equal to its SubRequest::AttemptId.
+/// Identifies one attempt across the fleet; equal to SubRequest::AttemptId.
 using AttemptKey = Name<struct AttemptTag>;
 
 inline constexpr std::size_t MaxServicesPerQuery = 512;
-/// Attempts at one service for one pin: first, hedges and retries together.
+/// Limit on first attempts, hedges and retries together, per service and pin.
 inline constexpr unsigned MaxAttemptsPerService = 4;
 
-/// Restarted queries as a share of all, in percent. A restart asks all services
-/// again; a roll-out makes some queries need one, never most.
+/// Restarted queries as a share of all, in percent. A restart sends to all
+/// services again; during a roll-out some queries need one, but not most.
 inline constexpr double RestartBudgetPercent = 10;
 
-/// How to treat stragglers. Baseline is what today's measurements are compared
-/// with: a random replica, no hedges or retries, wait to the deadline.
+/// How to treat stragglers. Baseline is the reference for measurements: a
+/// random replica, no hedges or retries, and waiting until the deadline.
 enum class Strategy : std::uint8_t { Full, Baseline };
 
-/// Parts of the strategy, for a bench that adds them one by one.
+/// Parts of the strategy; the benchmark enables them one by one.
 struct StrategyParts {
   PickRules Pick;
   bool Hedge = true;
@@ -64,7 +64,7 @@
   RequestId Id;
   Tenant Owner;
   CallerClass Class;
-  ConfigPtr Conf; ///< Kept to the end: one configuration for one query.
+  ConfigPtr Conf; ///< Held until the end: one configuration per query.
   std::vector<ServiceName> Services;
   ClassPolicy Policy;
   Instant Deadline;
@@ -72,39 +72,39 @@
   std::string TraceParent;
   StrategyParts Parts;
   Caution Care = Caution::None;
-  unsigned CrashedBefore = 0; ///< Upstreams, in earlier attempts at it.
+  unsigned CrashedBefore = 0; ///< Upstreams crashed by earlier attempts at it.
 };
 
-/// What all runs of a daemon share. All must outlive the runs; Traces may be
-/// null.
+/// State shared by all runs of a daemon. All references must outlive the runs;
+/// Traces may be null.
 struct QueryContext {
   ReplicaTable &Replicas;
   LatencyModel &Latency;
-  BudgetTable &Budgets; ///< Hedges and retries, by tenant and class.
-  Budget &Restarts;     ///< Made with RestartBudgetPercent.
+  BudgetTable &Budgets; ///< Hedges and retries by tenant and class.
+  Budget &Restarts;     ///< Created with RestartBudgetPercent.
   Random &Rng;
   TraceRing *Traces = nullptr;
-  AvailabilityZone Zone; ///< Our own.
+  AvailabilityZone Zone; ///< Of this daemon.
 };
 
-/// Send it (directly or through a holder of a slot) and report the reply, or
-/// what happened instead, with onReply(Key, ...).
+/// Send the request, directly or through a daemon that holds a slot, and report
+/// the reply or failure with onReply(Key, ...).
 struct SendSub {
   AttemptKey Key;
   SubRequest Request;
   bool Hedge = false;
   bool Retry = false;
 };
-/// The reply is no longer wanted: drop the transfer, tell the upstream.
+/// Cancel the attempt: abort the transfer and notify the upstream.
 struct CancelSub {
   AttemptKey Key;
   UpstreamId Target;
 };
-/// Call onWake() then. Replaces the WakeAt before it.
+/// Call onWake() at this time. Replaces the previous WakeAt.
 struct WakeAt {
   Instant At;
 };
-/// Close idle connections to this upstream: they have gone silent.
+/// Close the idle connections to this upstream, which stopped responding.
 struct ReplaceConnection {
   UpstreamId Target;
 };
@@ -121,18 +121,19 @@
 public:
   /// Fails with MissingField (no service), TooManyServices, UnknownService or
   /// AlreadyExists (a service twice).
-  static Result<QueryRun> make(QuerySpec Spec, QueryContext Tools);
+  static Result<QueryRun> make(QuerySpec Spec, QueryContext Context);
   QueryRun(QueryRun &&) noexcept;
   QueryRun &operator=(QueryRun &&) noexcept;
   ~QueryRun();
 
-  /// Called once, first.
+  /// Must be called exactly once, before any other event.
   QueryCommands start(Instant Now);
-  /// The attempt ended. Unknown, cancelled and finished attempts are ignored.
+  /// Reports the end of an attempt. Unknown, cancelled and finished attempts
+  /// are ignored.
   QueryCommands onReply(const AttemptKey &Key, const SubReply &Reply,
                         Instant Now);
   QueryCommands onWake(Instant Now);
-  /// The caller closed its connection: everything open is cancelled.
+  /// The caller closed its connection; cancels all open attempts.
   QueryCommands onCallerGone(Instant Now);
 
   bool finished() const;
--- a/packages/query/QuerySends.cpp
+++ b/packages/query/QuerySends.cpp
@@ -1,4 +1,4 @@
-// What one search sends: the first request to every service, and hedges.
+// Requests of one search: first attempts, hedges and retries after silence.
 #include "query/QueryMachine.h"
 
 #include <algorithm>
@@ -6,8 +6,9 @@
 
 namespace shallot {
 
-/// Chooses for all services before anything is sent: a class that needs full
-/// coverage is then refused without a request when one service has nobody.
+/// Selects upstreams for all services before it sends anything, so that a class
+/// that needs full coverage is refused without a request if a service has no
+/// usable upstream.
 void QueryMachine::sendAll(TraceKind Kind, Instant Now) {
   std::vector<std::optional<Pick>> Picks(Subs.size());
   for (std::size_t I = 0; I < Subs.size(); ++I) {
@@ -15,7 +16,7 @@
     Picks[I] = Sender->pick(Sub, Pin, Now);
     if (Picks[I])
       continue;
-    bool Gone = Pin && Tools.Replicas.pinGone(*Sub.Svc, *Pin, Now);
+    bool Gone = Pin && Context.Replicas.pinGone(*Sub.Svc, *Pin, Now);
     giveUp(Sub, Gone ? ResultCode::SnapshotGone : ResultCode::NoReplica,
            fmt::format(
                "{}: {}", Sub.name().str(),
@@ -29,11 +30,11 @@
   if (Kind == TraceKind::Sent) {
     B.Hedges.earn(Waiting);
     B.Retries.earn(Waiting);
-    Tools.Restarts.earn();
+    Context.Restarts.earn();
   }
-  // A suspect begins anywhere, so that the first service is not every suspect's
-  // first.
-  std::size_t First = careful() ? below(Tools.Rng, Subs.size()) : 0;
+  // A suspected search starts at a random service, so that such searches do not
+  // all hit the first service.
+  std::size_t First = isSuspect() ? below(Context.Rng, Subs.size()) : 0;
   for (std::size_t N = 0; N < Subs.size(); ++N) {
     std::size_t I = (First + N) % Subs.size();
     if (Picks[I])
@@ -43,7 +44,7 @@
 
 void QueryMachine::sendTo(std::size_t I, const Pick &To, TraceKind Kind,
                           Instant Now) {
-  if (mustWait())
+  if (mustDefer())
     return holdBack(I, Kind, Now);
   if (Kind != TraceKind::Hedged)
     armHedge(Subs[I], Now);
@@ -51,67 +52,68 @@
 }
 
 void QueryMachine::armHedge(SubQuery &Sub, Instant Now) {
-  auto Measured = Tools.Latency.quantile(Spec.Owner, Sub.name(),
-                                         Spec.Conf->preset()->HedgeQuantile);
-  Duration Unmeasured = std::min(UnmeasuredHedgeDelay, (FinishBy - Now) / 4);
-  Sub.UsualLongest = std::max(Measured.value_or(Unmeasured), MinHedgeDelay);
+  auto Measured = Context.Latency.quantile(Spec.Owner, Sub.name(),
+                                           Spec.Conf->preset()->HedgeQuantile);
+  Duration Default = std::min(DefaultHedgeDelay, (FinishBy - Now) / 4);
+  Sub.HedgeDelay = std::max(Measured.value_or(Default), MinHedgeDelay);
   if (Spec.Parts.Hedge && Spec.Policy.HedgeBudgetPercent > 0)
-    Sub.HedgeAt = Now + Sub.UsualLongest;
+    Sub.HedgeAt = Now + Sub.HedgeDelay;
 }
 
 void QueryMachine::hedge(std::size_t I, Instant Now) {
   SubQuery &Sub = Subs[I];
   if (!Sub.waiting() || Now < Sub.HedgeAt || !Sub.hasOpen())
     return;
-  if (careful()) {
-    Sub.HedgeAt = Now + Sub.UsualLongest;
+  if (isSuspect()) {
+    Sub.HedgeAt = Now + Sub.HedgeDelay;
     return;
   }
-  bool Allowed =
-      Sub.Hedges < MaxHedgesPerService && Sub.Paid < MaxAttemptsPerService;
+  bool Allowed = Sub.Hedges < MaxHedgesPerService &&
+                 Sub.CountedAttempts < MaxAttemptsPerService;
   auto To = Allowed ? Sender->pick(Sub, Pin, Now) : std::nullopt;
   if (!To) {
     Sub.HedgeAt = Never;
     return;
   }
-  Duration Later = std::max(Sub.UsualLongest / 4, MinHedgeDelay);
+  Duration Deferral = std::max(Sub.HedgeDelay / 4, MinHedgeDelay);
   Budget &Hedges = budgets().Hedges;
-  // The last tokens are kept for real stragglers: half of the requests that
-  // have just become due are answered within the next quarter. Spent on them,
-  // the tokens would be missing for a request that is 20 times slower.
+  // The last tokens are reserved for real stragglers: half of the requests
+  // whose hedge has just become due are answered within the next quarter of the
+  // delay. Tokens spent on them would be missing for a request that is 20 times
+  // slower.
   if (Hedges.balance() < HedgeReserve && !Sub.HedgeDeferred) {
     Sub.HedgeDeferred = true;
-    Sub.HedgeAt = Now + Later;
+    Sub.HedgeAt = Now + Deferral;
     return;
   }
   if (!Hedges.trySpend()) {
     Sender->trace(TraceKind::HedgeDenied, Sub, Now);
-    Sub.HedgeAt = Now + Later;
+    Sub.HedgeAt = Now + Deferral;
     return;
   }
-  Sub.HedgeAt = Now + Sub.UsualLongest;
+  Sub.HedgeAt = Now + Sub.HedgeDelay;
   ++Sub.Hedges;
   sendTo(I, *To, TraceKind::Hedged, Now);
 }
 
-/// A request that has been silent for long is moved: its work is idempotent,
-/// and waiting for the deadline would let one silent connection set the
-/// latency. The old attempt stays open, in case that it still answers.
-void QueryMachine::watchSilence(std::size_t I, Instant Now) {
+/// Retries a silent request at another upstream: searches are idempotent, and
+/// waiting until the deadline would let one silent connection determine the
+/// latency. The old attempt stays open and may still answer.
+void QueryMachine::checkSilence(std::size_t I, Instant Now) {
   SubQuery &Sub = Subs[I];
-  if (!Sub.waiting() || Sub.Held)
+  if (!Sub.waiting() || Sub.UnpinnedReply)
     return;
   bool AnyDue = false;
   bool AllSilent = true;
   for (SubAttempt &A : Sub.Attempts) {
     if (A.Open && Now >= A.SilentAt) {
       AnyDue = true;
-      Sender->noteSilence(Sub, A, Now, Out);
+      Sender->recordSilence(Sub, A, Now, Out);
     }
     AllSilent = AllSilent && (!A.Open || A.SilentAt == Never);
   }
-  if (!AnyDue || !AllSilent || !Spec.Parts.Retry || careful() ||
-      Sub.Paid >= MaxAttemptsPerService)
+  if (!AnyDue || !AllSilent || !Spec.Parts.Retry || isSuspect() ||
+      Sub.CountedAttempts >= MaxAttemptsPerService)
     return;
   auto To = Sender->pick(Sub, Pin, Now);
   if (To && budgets().Retries.trySpend())
--- a/packages/query/Replica.cpp
+++ b/packages/query/Replica.cpp
@@ -5,37 +5,37 @@
 
 namespace shallot {
 
-Blame blameOf(ResultCode Code) {
+FaultClass faultClassOf(ResultCode Code) {
   switch (Code) {
   case ResultCode::Ok:
   case ResultCode::UpstreamVersionGone:
-    return Blame::None;
+    return FaultClass::None;
   case ResultCode::UpstreamShed:
-    return Blame::Shed;
+    return FaultClass::Shed;
   case ResultCode::UpstreamDraining:
-    return Blame::Draining;
+    return FaultClass::Draining;
   case ResultCode::UpstreamUnreachable:
   case ResultCode::UpstreamBadReply:
   case ResultCode::UpstreamMismatch:
   case ResultCode::ConnectionClosed:
   case ResultCode::ConnectFailed:
   case ResultCode::TransferTimeout:
-    return Blame::Replica;
+    return FaultClass::Replica;
   default:
-    return Blame::Elsewhere;
+    return FaultClass::NotReplica;
   }
 }
 
-bool noUpstreamSaw(ResultCode Code) {
-  return provesNotRun(Code) && blameOf(Code) == Blame::Elsewhere;
+bool refusedBeforeUpstream(ResultCode Code) {
+  return provesNotRun(Code) && faultClassOf(Code) == FaultClass::NotReplica;
 }
 
-void ReplicaTable::Replica::heard(Instant Now) {
-  LastHeard = Now;
+void ReplicaTable::Replica::recordContact(Instant Now) {
+  LastContact = Now;
   FailuresInRow = 0;
   SilentInRow = 0;
   ReplacedAt.reset();
-  if (EjectionsInRow > 0 && ++GoodReplies >= RepliesToForget) {
+  if (EjectionsInRow > 0 && ++GoodReplies >= RepliesToResetEjections) {
     EjectionsInRow = 0;
     GoodReplies = 0;
   }
@@ -46,8 +46,8 @@
   DrainingAt = Now;
 }
 
-bool ReplicaTable::Replica::leaves(Instant Now) const {
-  return Leaving || (Draining && Now - DrainingAt < DrainHold);
+bool ReplicaTable::Replica::isLeaving(Instant Now) const {
+  return Leaving || (Draining && Now - DrainingAt < DrainingValidity);
 }
 
 std::optional<bool> ReplicaTable::Replica::holds(const Snapshot &S,
@@ -56,7 +56,8 @@
     return std::nullopt;
   if (std::ranges::find(Servable, S) != Servable.end())
     return true;
-  return Now - ServableAt < NotHeldTrust ? std::optional(false) : std::nullopt;
+  return Now - ServableAt < NotHeldValidity ? std::optional(false)
+                                            : std::nullopt;
 }
 
 Duration ReplicaTable::Replica::latencyAt(Instant Now, Duration Best) const {
@@ -67,8 +68,8 @@
          Duration(static_cast<Duration::rep>(Excess * std::exp2(-HalfLives)));
 }
 
-Duration ReplicaTable::Replica::owing(Instant Now) const {
-  return Outstanding == 0 ? Duration{0} : Now - OwingSince;
+Duration ReplicaTable::Replica::unansweredFor(Instant Now) const {
+  return Outstanding == 0 ? Duration{0} : Now - UnansweredSince;
 }
 
 } // namespace shallot
--- a/packages/query/Replica.h
+++ b/packages/query/Replica.h
@@ -1,7 +1,7 @@
-//===- Replica.h - The observations of one upstream -------------*- C++ -*-===//
+//===- Replica.h - Observations of one upstream -----------------*- C++ -*-===//
 //
-// The row type of ReplicaTable and the constants by which observations are
-// judged. Internal to package query.
+// The entry type of ReplicaTable and the thresholds applied to observations.
+// Internal to package query.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_REPLICA_H
@@ -14,79 +14,82 @@
 
 /// Weight of one reply in the moving average of latency.
 inline constexpr double LatencyGain = 0.1;
-/// One reply counts as at most this many times the usual latency.
+/// A sample is capped at this multiple of the moving average.
 inline constexpr int SampleCap = 3;
-/// Without replies what an upstream is slower than the fastest of its service
-/// falls by half in this time, so that one that was slow is tried again.
+/// Half-life of the excess latency over the fastest upstream of the service
+/// while no replies arrive, so that an upstream that was slow is tried again.
 inline constexpr Duration LatencyHalfLife = Seconds(2);
-/// What an upstream is credited with while nothing is known of its service.
-inline constexpr Duration UnknownLatency = Millis(1);
+/// Assumed latency while none has been measured for the service.
+inline constexpr Duration DefaultLatency = Millis(1);
 
-/// Failures in a row before an upstream is left out. One or two are the share
-/// of a restart of something between; three are not.
+/// Consecutive failures before an upstream is ejected. One or two are expected
+/// when an intermediary restarts; three are not.
 inline constexpr unsigned FailuresBeforeEject = 3;
-/// The first ejection; each further one in a row lasts twice as long.
+/// Duration of the first ejection; it doubles with each consecutive one.
 inline constexpr Duration EjectTime = Seconds(1);
 inline constexpr unsigned MaxEjectDoublings = 5; ///< 32 s to 48 s.
-/// Good replies after which earlier ejections are forgotten.
-inline constexpr unsigned RepliesToForget = 10;
+/// Successful replies that reset the count of consecutive ejections.
+inline constexpr unsigned RepliesToResetEjections = 10;
 
-/// Requests in a row that count as silence: each was unusually late, and from
-/// its sending on nothing at all was heard from the upstream. About 1 in 20
-/// replies of a good upstream is late; three in a row with nothing between are
-/// 1 in 8,000, and cost a new connection.
-inline constexpr unsigned SilentBeforeVerdict = 3;
+/// Consecutive silent requests that trigger an action. A request is silent if
+/// it is unusually late and the upstream has sent nothing since it was sent.
+/// About 1 in 20 replies of a healthy upstream is late, so three in a row have
+/// a probability of 1 in 8,000, and a false positive costs one new connection.
+inline constexpr unsigned SilentBeforeAction = 3;
 
-/// An upstream that sheds is not even a last resort below this weight: three
-/// refusals in a row.
+/// Below this weight, reached after three consecutive refusals, an upstream
+/// that sheds load is not used even as a last resort.
 inline constexpr double LastResortWeight = 0.2;
-/// Its word that it is leaving counts this long; then it is asked once more.
-/// Longer than a restart, so that one that drains is not asked again before
-/// it is gone.
-inline constexpr Duration DrainHold = Seconds(60);
-/// What an upstream did not hold this long ago it may hold by now.
-inline constexpr Duration NotHeldTrust = Seconds(1);
-/// Our own zone is preferred unless its expected time is this much longer.
+/// How long an upstream's draining report remains valid; after that it is tried
+/// again. Longer than a restart, so that a draining upstream receives no
+/// request before it has exited.
+inline constexpr Duration DrainingValidity = Seconds(60);
+/// How long the absence of a snapshot at an upstream remains valid; after that
+/// the upstream may have loaded it.
+inline constexpr Duration NotHeldValidity = Seconds(1);
+/// This daemon's zone is preferred unless its expected time exceeds the other
+/// by this factor.
 inline constexpr double ZoneTolerance = 1.2;
-/// Expected times closer than this share are a tie.
+/// Expected times that differ by less than this share are treated as equal.
 inline constexpr double TieShare = 0.02;
 
-/// Whose doing a result is.
-enum class Blame : std::uint8_t {
-  None,      ///< It answered, or refused a version.
-  Shed,      ///< It refused for load.
-  Draining,  ///< It is leaving.
-  Replica,   ///< It failed.
-  Elsewhere, ///< A holder's queue, a peer, a silent connection or ourselves.
+/// The component to which a result is attributed.
+enum class FaultClass : std::uint8_t {
+  None,     ///< The upstream answered, or lacks the version.
+  Shed,     ///< The upstream refused because of load.
+  Draining, ///< The upstream is draining.
+  Replica,  ///< The upstream failed.
+  /// Attributed to a slot holder, a peer, a silent connection or this daemon.
+  NotReplica,
 };
 
-Blame blameOf(ResultCode Code);
+FaultClass faultClassOf(ResultCode Code);
 
-/// True when the refusal came before any upstream: from a slot's holder, a peer
-/// or ourselves.
-bool noUpstreamSaw(ResultCode Code);
+/// True if the refusal occurred before the request reached an upstream: at a
+/// slot holder, at a peer or in this daemon.
+bool refusedBeforeUpstream(ResultCode Code);
 
 struct ReplicaTable::Replica {
   unsigned Outstanding = 0;
   Duration Latency{0}; ///< Moving average; 0: not known.
   Instant LatencyAt;
-  /// All outstanding requests have waited at least since then without a word.
-  Instant OwingSince;
-  Instant LastHeard;
+  /// No reply has arrived since then while requests are outstanding.
+  Instant UnansweredSince;
+  Instant LastContact;
 
   unsigned FailuresInRow = 0;
   unsigned SilentInRow = 0;
-  std::optional<Instant> ReplacedAt; ///< Connections given up, nothing heard.
+  std::optional<Instant> ReplacedAt; ///< Connections closed, no reply since.
   Instant EjectedUntil;
   unsigned EjectionsInRow = 0;
   unsigned GoodReplies = 0; ///< Since the last ejection.
 
-  SlowStart Shed; ///< Refused for load.
-  SlowStart Warm; ///< Cold, or back from an ejection.
+  SlowStart Shed;   ///< After a refusal because of load.
+  SlowStart Warmup; ///< After a cold start or an ejection.
 
-  bool Draining = false; ///< By its own word.
+  bool Draining = false; ///< Reported by the upstream.
   Instant DrainingAt;
-  bool Leaving = false; ///< By the platform's list.
+  bool Leaving = false; ///< Reported by the platform's host list.
   double ReportedLoad = 0;
 
   std::vector<Snapshot> Servable; ///< Newest first.
@@ -96,20 +99,20 @@
   std::uint64_t Failures = 0;
   std::uint64_t Ejections = 0;
 
-  void heard(Instant Now);
+  void recordContact(Instant Now);
   void markDraining(Instant Now);
-  bool leaves(Instant Now) const;
+  bool isLeaving(Instant Now) const;
   std::optional<bool> holds(const Snapshot &S, Instant Now) const;
-  /// The average, faded towards \p Best since the last reply.
+  /// The moving average, decayed towards \p Best since the last sample.
   Duration latencyAt(Instant Now, Duration Best) const;
-  /// How long it has owed a word while requests wait there.
-  Duration owing(Instant Now) const;
+  /// Time since the last reply while requests are outstanding, else 0.
+  Duration unansweredFor(Instant Now) const;
 };
 
-/// An upstream under consideration in one pick.
+/// A candidate in one call of pick().
 struct ReplicaTable::Candidate {
   const Upstream *Target = nullptr;
-  const Replica *Seen = nullptr; ///< Null: never asked.
+  const Replica *Seen = nullptr; ///< Null if it has no entry yet.
   Duration Expected{0};
   bool IsNear = false;
 
--- a/packages/query/ReplicaPick.cpp
+++ b/packages/query/ReplicaPick.cpp
@@ -1,5 +1,5 @@
-// The choice of an upstream: who may be asked, what each is expected to take,
-// and which of two is better.
+// Selection of an upstream: candidates, their expected times, and the better of
+// two.
 #include "query/Replica.h"
 #include "query/ReplicaTable.h"
 
@@ -25,25 +25,26 @@
   return "";
 }
 
-void ReplicaTable::collect(const Service &Svc, const PickWish &Wish,
-                           Instant Now) {
+void ReplicaTable::collect(const Service &Svc,
+                           const PickConstraints &Constraints, Instant Now) {
   Scratch.clear();
   for (const Upstream &U : Svc->Upstreams) {
     const Replica *R = find(U->Id);
-    if (U->Leaving || (R && R->leaves(Now)))
+    if (U->Leaving || (R && R->isLeaving(Now)))
       continue;
-    if (std::ranges::find(Wish.Exclude, U->Id) != Wish.Exclude.end())
+    if (std::ranges::find(Constraints.Exclude, U->Id) !=
+        Constraints.Exclude.end())
       continue;
-    if (Wish.Pin && R && R->holds(*Wish.Pin, Now) == false)
+    if (Constraints.Pin && R && R->holds(*Constraints.Pin, Now) == false)
       continue;
-    Scratch.push_back({&U, R, Duration{0}, U->Zone == Wish.Near});
+    Scratch.push_back({&U, R, Duration{0}, U->Zone == Constraints.Near});
   }
 }
 
-/// Leaves out ejected upstreams, those first that were ejected the longest. At
-/// most MaxPercent of the service's upstreams are left out and never the last
-/// one: when everything looks bad the fault is likely ours or the network's,
-/// and leaving all out would turn slow answers into none.
+/// Removes ejected upstreams, those with the latest end of ejection first. At
+/// most \p MaxPercent of the service's upstreams are removed, and never the
+/// last one: if all look bad, the fault is probably in this daemon or the
+/// network, and removing all would turn slow answers into none.
 void ReplicaTable::dropEjected(const Service &Svc, unsigned MaxPercent,
                                Instant Now) {
   std::size_t MayDrop = Svc->Upstreams.size() * MaxPercent / 100;
@@ -59,12 +60,12 @@
                 Scratch.begin() + static_cast<std::ptrdiff_t>(Drop));
 }
 
-/// Each upstream that recovers takes part with the probability of its weight.
-/// When none does, the one that recovered most is a last resort, unless it
-/// keeps refusing: then the request is better refused here.
+/// Keeps each recovering upstream with the probability of its weight. If none
+/// is left, the one with the highest weight is kept as a last resort, unless it
+/// keeps refusing; the request is then refused by this daemon.
 void ReplicaTable::dropRecovering(Instant Now) {
   auto WeightOf = [&](const Candidate &C) {
-    return C.Seen ? C.Seen->Shed.weight(Now) * C.Seen->Warm.weight(Now) : 1.0;
+    return C.Seen ? C.Seen->Shed.weight(Now) * C.Seen->Warmup.weight(Now) : 1.0;
   };
   auto Recovers = [&](const Candidate &C) {
     double W = WeightOf(C);
@@ -79,24 +80,26 @@
     Scratch.push_back(Best);
 }
 
-/// Expected time: requests there and this one, each taking the recent latency.
-/// One that has owed a word for longer than that counts as that slow: a frozen
-/// upstream is avoided within milliseconds, before anything was concluded.
+/// Sets the expected time of each candidate: the requests outstanding there and
+/// this one, each at the recent latency. If the upstream has left requests
+/// unanswered for longer than its latency, that time is used instead, so that a
+/// frozen upstream is avoided within milliseconds, before it is ejected.
 void ReplicaTable::estimate(Instant Now) {
   Duration Best{0};
   for (const Candidate &C : Scratch)
     if (C.hasLatency() && (Best == Duration{0} || C.Seen->Latency < Best))
       Best = C.Seen->Latency;
-  Duration Default = Best > Duration{0} ? Best : UnknownLatency;
+  Duration Default = Best > Duration{0} ? Best : DefaultLatency;
   for (Candidate &C : Scratch) {
     Duration Each = C.hasLatency() ? C.Seen->latencyAt(Now, Best) : Default;
     if (C.Seen)
-      Each = std::max(Each, C.Seen->owing(Now));
+      Each = std::max(Each, C.Seen->unansweredFor(Now));
     C.Expected = Each * (C.Seen ? C.Seen->Outstanding + 1 : 1);
   }
 }
 
-/// The better of two drawn from Count candidates at First.
+/// Returns the better of two candidates selected at random from \p Count
+/// candidates starting at \p First.
 const ReplicaTable::Candidate &ReplicaTable::betterOfTwo(std::size_t First,
                                                          std::size_t Count,
                                                          Pick &Evidence) {
@@ -106,22 +109,23 @@
   std::size_t Skip = static_cast<std::size_t>(&A - &Scratch[First]);
   std::size_t Other = below(Rng, Count - 1);
   const Candidate &B = Scratch[First + Other + (Other >= Skip ? 1 : 0)];
-  auto Apart = A.Expected > B.Expected ? A.Expected - B.Expected
-                                       : B.Expected - A.Expected;
-  bool Tie = static_cast<double>(Apart.count()) <=
+  auto Difference = A.Expected > B.Expected ? A.Expected - B.Expected
+                                            : B.Expected - A.Expected;
+  bool Tie = static_cast<double>(Difference.count()) <=
              TieShare * static_cast<double>(A.Expected.count());
   bool TakeB =
       Tie ? B.reportedLoad() < A.reportedLoad() : B.Expected < A.Expected;
-  const Candidate &Loser = TakeB ? A : B;
+  const Candidate &Rejected = TakeB ? A : B;
   Evidence.Why = Tie ? PickReason::Tie : PickReason::LessLoaded;
-  Evidence.Over = (*Loser.Target)->Id;
-  Evidence.OverExpected = Loser.Expected;
+  Evidence.Alternative = (*Rejected.Target)->Id;
+  Evidence.AlternativeExpected = Rejected.Expected;
   return TakeB ? B : A;
 }
 
-/// The first NearCount candidates are in our zone.
-const ReplicaTable::Candidate &ReplicaTable::nearOrFar(std::size_t NearCount,
-                                                       Pick &Evidence) {
+/// Chooses between this daemon's zone, the first \p NearCount candidates, and
+/// the other zones.
+const ReplicaTable::Candidate &ReplicaTable::chooseByZone(std::size_t NearCount,
+                                                          Pick &Evidence) {
   const Candidate &Near = betterOfTwo(0, NearCount, Evidence);
   if (NearCount == Scratch.size())
     return Near;
@@ -129,17 +133,17 @@
       betterOfTwo(NearCount, Scratch.size() - NearCount, Evidence);
   bool NearIsWorse = static_cast<double>(Near.Expected.count()) >
                      ZoneTolerance * static_cast<double>(Far.Expected.count());
-  const Candidate &Loser = NearIsWorse ? Near : Far;
+  const Candidate &Rejected = NearIsWorse ? Near : Far;
   Evidence.Why = NearIsWorse ? PickReason::NearIsWorse : PickReason::Near;
-  Evidence.Over = (*Loser.Target)->Id;
-  Evidence.OverExpected = Loser.Expected;
+  Evidence.Alternative = (*Rejected.Target)->Id;
+  Evidence.AlternativeExpected = Rejected.Expected;
   return NearIsWorse ? Far : Near;
 }
 
-Pick ReplicaTable::choose(const PickWish &Wish) {
+Pick ReplicaTable::choose(const PickConstraints &Constraints) {
   Pick P;
   std::size_t NearCount = 0;
-  if (Wish.Rules.ByZone) {
+  if (Constraints.Rules.ByZone) {
     auto Far =
         std::stable_partition(Scratch.begin(), Scratch.end(),
                               [](const Candidate &C) { return C.IsNear; });
@@ -148,11 +152,11 @@
   const Candidate *C = nullptr;
   if (Scratch.size() == 1) {
     C = &Scratch.front();
-  } else if (!Wish.Rules.ByLoad) {
+  } else if (!Constraints.Rules.ByLoad) {
     C = &Scratch[below(Rng, NearCount > 0 ? NearCount : Scratch.size())];
     P.Why = PickReason::Drawn;
   } else {
-    C = NearCount > 0 ? &nearOrFar(NearCount, P)
+    C = NearCount > 0 ? &chooseByZone(NearCount, P)
                       : &betterOfTwo(0, Scratch.size(), P);
   }
   P.Target = C->Target;
@@ -160,17 +164,18 @@
   return P;
 }
 
-std::optional<Pick> ReplicaTable::pick(const Service &Svc, const PickWish &Wish,
+std::optional<Pick> ReplicaTable::pick(const Service &Svc,
+                                       const PickConstraints &Constraints,
                                        Instant Now) {
-  collect(Svc, Wish, Now);
-  if (Wish.Rules.Eject) {
-    dropEjected(Svc, Wish.EjectMaxPercent, Now);
+  collect(Svc, Constraints, Now);
+  if (Constraints.Rules.Eject) {
+    dropEjected(Svc, Constraints.EjectMaxPercent, Now);
     dropRecovering(Now);
   }
   if (Scratch.empty())
     return std::nullopt;
   estimate(Now);
-  return choose(Wish);
+  return choose(Constraints);
 }
 
 } // namespace shallot
--- a/packages/query/ReplicaTable.cpp
+++ b/packages/query/ReplicaTable.cpp
@@ -13,8 +13,8 @@
   auto It = Replicas.find(Id);
   if (It != Replicas.end())
     return It->second;
-  // Only configured upstreams are asked, so the bound is met only when a
-  // configuration larger than designed for is installed without retain().
+  // Only configured upstreams are used, so the bound is reached only if a
+  // configuration beyond the design size is installed without retain().
   if (Replicas.size() >= MaxReplicas)
     std::erase_if(Replicas,
                   [](const auto &E) { return E.second.Outstanding == 0; });
@@ -30,15 +30,15 @@
   Replica &R = at(Id);
   ++R.Sent;
   if (R.Outstanding++ == 0)
-    R.OwingSince = Now;
+    R.UnansweredSince = Now;
 }
 
 void ReplicaTable::sample(Replica &R, Duration Took, Instant Now) {
   if (R.Latency == Duration{0})
     R.Latency = Took;
-  // One straggler must not make a good upstream look bad: a reply counts as at
-  // most SampleCap times the usual. An upstream that is really slow gets there
-  // in a few replies all the same.
+  // Samples are capped at SampleCap times the average, so that one straggler
+  // does not make a healthy upstream look slow. The average of an upstream that
+  // is slow still converges within a few replies.
   Duration Capped = std::min(Took, R.Latency * SampleCap);
   R.Latency += Duration(static_cast<Duration::rep>(
       LatencyGain * static_cast<double>((Capped - R.Latency).count())));
@@ -62,8 +62,8 @@
 
 void ReplicaTable::eject(Replica &R, Instant Now) {
   unsigned Doublings = std::min(R.EjectionsInRow, MaxEjectDoublings);
-  // The jitter keeps daemons that saw the same failure from coming back to the
-  // upstream at the same moment.
+  // Jitter prevents daemons that observed the same failure from returning to
+  // the upstream at the same time.
   Duration Base = EjectTime * (1 << Doublings);
   Duration Jitter(static_cast<Duration::rep>(
       uniform01(Rng) * static_cast<double>(Base.count()) / 2));
@@ -73,7 +73,7 @@
   R.GoodReplies = 0;
   ++R.EjectionsInRow;
   ++R.Ejections;
-  R.Warm.cold(R.EjectedUntil, Rng);
+  R.Warmup.cold(R.EjectedUntil, Rng);
 }
 
 void ReplicaTable::onFailure(Replica &R, Instant Now) {
@@ -87,11 +87,11 @@
   Replica &R = at(Id);
   if (R.Outstanding > 0)
     --R.Outstanding;
-  R.OwingSince = Now;
+  R.UnansweredSince = Now;
   learnSnapshots(R, Reply, Now);
-  switch (blameOf(Reply.Code)) {
-  case Blame::None:
-    R.heard(Now);
+  switch (faultClassOf(Reply.Code)) {
+  case FaultClass::None:
+    R.recordContact(Now);
     if (Reply.Code == ResultCode::Ok)
       sample(R, Now - SentAt, Now);
     if (Reply.Draining)
@@ -99,21 +99,21 @@
     else if (SentAt > R.DrainingAt)
       R.Draining = false;
     if (Reply.Cold)
-      R.Warm.cold(Now, Rng);
+      R.Warmup.cold(Now, Rng);
     R.ReportedLoad = Reply.Load;
     break;
-  case Blame::Shed:
-    R.heard(Now);
+  case FaultClass::Shed:
+    R.recordContact(Now);
     R.Shed.shed(Now, Reply.RetryAfter, Rng);
     break;
-  case Blame::Draining:
-    R.heard(Now);
+  case FaultClass::Draining:
+    R.recordContact(Now);
     R.markDraining(Now);
     break;
-  case Blame::Replica:
+  case FaultClass::Replica:
     onFailure(R, Now);
     break;
-  case Blame::Elsewhere:
+  case FaultClass::NotReplica:
     break;
   }
 }
@@ -123,35 +123,36 @@
   Replica &R = at(Id);
   if (R.Outstanding > 0)
     --R.Outstanding;
-  // A loser would have taken at least this long. Without this sample an
-  // upstream that always loses would keep the latency of its better days.
+  // A cancelled attempt would have taken at least this long. Without this
+  // sample an upstream that always loses to hedges would keep an outdated low
+  // latency.
   if (R.Latency > Duration{0} && Now - SentAt > R.Latency)
     sample(R, Now - SentAt, Now);
 }
 
-SilenceVerdict ReplicaTable::onSilent(const UpstreamId &Id, Instant SentAt,
-                                      Instant Now) {
+SilenceAction ReplicaTable::onSilent(const UpstreamId &Id, Instant SentAt,
+                                     Instant Now) {
   Replica &R = at(Id);
-  // Something was heard since: it lives, and this request is a straggler.
-  if (R.LastHeard > SentAt || R.EjectedUntil > Now)
-    return SilenceVerdict::Wait;
-  // Sent on a connection that has been given up already: no new evidence.
+  // The upstream has replied since, so this request is only a straggler.
+  if (R.LastContact > SentAt || R.EjectedUntil > Now)
+    return SilenceAction::Wait;
+  // Sent on a connection that has since been closed: no new evidence.
   if (R.ReplacedAt && SentAt < *R.ReplacedAt)
-    return SilenceVerdict::Wait;
+    return SilenceAction::Wait;
   ++R.SilentInRow;
-  if (R.SilentInRow < SilentBeforeVerdict)
-    return SilenceVerdict::Wait;
+  if (R.SilentInRow < SilentBeforeAction)
+    return SilenceAction::Wait;
   if (!R.ReplacedAt) {
-    // Something between the two ends may have lost track of the connections:
-    // requests vanish while new connections work. The replica gets a fresh
-    // start on new ones before it is blamed.
+    // An intermediary may have lost the state of the connections, so that
+    // requests vanish while new connections work. The replica is tried on new
+    // connections before it is ejected.
     R.ReplacedAt = Now;
     R.SilentInRow = 0;
     R.Latency = Duration{0};
-    return SilenceVerdict::ReplaceConnection;
+    return SilenceAction::ReplaceConnection;
   }
   eject(R, Now);
-  return SilenceVerdict::BlameReplica;
+  return SilenceAction::EjectReplica;
 }
 
 void ReplicaTable::onReport(const UpstreamId &Id, double Load, bool Draining,
@@ -184,7 +185,7 @@
   if (U->Leaving)
     return false;
   const Replica *R = find(U->Id);
-  return !R || !R->leaves(Now);
+  return !R || !R->isLeaving(Now);
 }
 
 bool ReplicaTable::pinGone(const Service &Svc, const Snapshot &Pin,
@@ -212,10 +213,10 @@
   S.Id = Id;
   S.Outstanding = R.Outstanding;
   S.Latency = R.Latency;
-  S.Weight = R.Shed.weight(Now) * R.Warm.weight(Now);
+  S.Weight = R.Shed.weight(Now) * R.Warmup.weight(Now);
   S.Ejected = R.EjectedUntil > Now;
   S.Resting = R.Shed.weight(Now) < LastResortWeight;
-  S.Draining = R.leaves(Now);
+  S.Draining = R.isLeaving(Now);
   S.ReportedLoad = R.ReportedLoad;
   S.Servable = R.Servable;
   S.Sent = R.Sent;
--- a/packages/query/ReplicaTable.h
+++ b/packages/query/ReplicaTable.h
@@ -1,10 +1,9 @@
-//===- ReplicaTable.h - What we saw of each upstream ------------*- C++ -*-===//
+//===- ReplicaTable.h - Observed state of each upstream ---------*- C++ -*-===//
 //
-// Health and load reports lag or mislead, so the choice of an upstream rests on
-// this daemon's own observations: how many of our requests are outstanding
-// there, how long it took lately, whether it has gone quiet. Reports only break
-// ties. Everything decays or expires, so that an upstream which recovered is
-// found out without anybody saying so.
+// Health and load reports can be stale or wrong, so an upstream is selected by
+// this daemon's own observations: outstanding requests, recent latency and
+// unanswered requests. Reports only break ties. All observations decay or
+// expire, so that a recovered upstream is used again without a report.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_REPLICATABLE_H
@@ -19,20 +18,20 @@
 
 namespace shallot {
 
-/// Which parts of the choice are in use. The default is all of them; a bench
-/// switches them on one by one.
+/// Enabled selection criteria. All are enabled by default; the benchmark
+/// enables them one by one.
 struct PickRules {
-  bool ByLoad = true; ///< Outstanding x recent latency; else a random one.
-  bool ByZone = true; ///< Prefer our own availability zone.
-  bool Eject = true;  ///< Leave out outliers for a while.
+  bool ByLoad = true; ///< By outstanding x recent latency, else at random.
+  bool ByZone = true; ///< Prefer this daemon's availability zone.
+  bool Eject = true;  ///< Exclude outliers temporarily.
 
   friend bool operator==(const PickRules &, const PickRules &) = default;
 };
 
-/// What the chosen upstream has to satisfy.
-struct PickWish {
+/// Constraints on the upstream to select.
+struct PickConstraints {
   std::optional<Snapshot> Pin;
-  /// Upstreams that were tried for this sub-request already.
+  /// Upstreams already tried for this sub-request.
   std::span<const UpstreamId> Exclude;
   AvailabilityZone Near;
   unsigned EjectMaxPercent = 34;
@@ -40,39 +39,39 @@
 };
 
 enum class PickReason : std::uint8_t {
-  Only,        ///< No other could be used.
-  LessLoaded,  ///< Lower outstanding x latency of two.
-  Near,        ///< In our zone, and not clearly worse.
-  NearIsWorse, ///< In another zone, because ours is clearly worse.
-  Tie,         ///< Equal but for the load that it reports.
-  Drawn,       ///< At random.
+  Only,        ///< No other candidate.
+  LessLoaded,  ///< Lower outstanding x latency of two candidates.
+  Near,        ///< In this daemon's zone, within ZoneTolerance.
+  NearIsWorse, ///< In another zone; this zone exceeds ZoneTolerance.
+  Tie,         ///< Equal expected time; decided by reported load.
+  Drawn,       ///< Selected at random.
 };
 std::string_view nameOf(PickReason R);
 
-/// The chosen upstream and the evidence.
+/// The selected upstream and the basis of the decision.
 struct Pick {
   const Upstream *Target = nullptr; ///< Points into the configuration.
   PickReason Why = PickReason::Only;
-  Duration Expected{0}; ///< Its outstanding x latency, as time.
-  UpstreamId Over;      ///< The one it was compared with, if any.
-  Duration OverExpected{0};
+  Duration Expected{0};   ///< Expected time: outstanding x latency.
+  UpstreamId Alternative; ///< The rejected alternative, if any.
+  Duration AlternativeExpected{0};
 };
 
-/// What a silent upstream calls for.
-enum class SilenceVerdict : std::uint8_t {
-  Wait,              ///< Not enough evidence.
-  ReplaceConnection, ///< Close connections to it; the replica is not blamed.
-  BlameReplica,      ///< Silent on new connections too: ejected.
+/// The response to an upstream that does not answer.
+enum class SilenceAction : std::uint8_t {
+  Wait,              ///< Not enough evidence yet.
+  ReplaceConnection, ///< Close its connections without ejecting it.
+  EjectReplica,      ///< Silent on new connections too.
 };
 
-/// What an operator is shown of one upstream.
+/// State of one upstream as reported to operators.
 struct ReplicaStatus {
   UpstreamId Id;
   unsigned Outstanding = 0;
   Duration Latency{0};
   double Weight = 1; ///< Below 1 while it recovers.
   bool Ejected = false;
-  bool Resting = false; ///< It shed work; not even a last resort just now.
+  bool Resting = false; ///< Shed load; not used even as a last resort.
   bool Draining = false;
   double ReportedLoad = 0;
   std::vector<Snapshot> Servable;
@@ -91,38 +90,39 @@
   ReplicaTable(const ReplicaTable &) = delete;
   ReplicaTable &operator=(const ReplicaTable &) = delete;
 
-  /// The upstream of \p Svc to ask next, or nothing when none may be used.
-  /// Power of two choices over what is usable.
-  std::optional<Pick> pick(const Service &Svc, const PickWish &Wish,
-                           Instant Now);
+  /// Selects the upstream of \p Svc to send to by power of two choices, or
+  /// returns nothing if none is usable.
+  std::optional<Pick> pick(const Service &Svc,
+                           const PickConstraints &Constraints, Instant Now);
 
-  // What happened. Each onSent is followed by exactly one onReply or
-  // onCancelled of the same upstream.
+  // Events. Each onSent is followed by exactly one onReply or onCancelled of
+  // the same upstream.
   void onSent(const UpstreamId &Id, Instant Now);
   void onReply(const UpstreamId &Id, Instant SentAt, const SubReply &Reply,
                Instant Now);
   void onCancelled(const UpstreamId &Id, Instant SentAt, Instant Now);
-  /// An attempt sent at \p SentAt has had no reply for unusually long, or was
-  /// overtaken by a hedge.
-  SilenceVerdict onSilent(const UpstreamId &Id, Instant SentAt, Instant Now);
+  /// An attempt sent at \p SentAt is unusually late, or its hedge answered
+  /// first.
+  SilenceAction onSilent(const UpstreamId &Id, Instant SentAt, Instant Now);
 
-  /// The upstream's own word through GET /load.
+  /// The upstream's own report from GET /load.
   void onReport(const UpstreamId &Id, double Load, bool Draining, Instant Now);
-  /// The platform's host list says that it is leaving, or no longer so.
+  /// The platform's host list marks it as leaving, or no longer does.
   void onLeaving(const UpstreamId &Id, bool Leaving);
 
-  /// Whether \p Id is known to hold \p S: nothing when it is not known or what
-  /// was learned is old.
+  /// Whether \p Id holds \p S; nothing if that is unknown or the information
+  /// has expired.
   std::optional<bool> holds(const UpstreamId &Id, const Snapshot &S,
                             Instant Now) const;
-  /// The snapshots that \p Id said it holds; empty when nothing is known.
+  /// The snapshots that \p Id reported as servable; empty if unknown.
   std::span<const Snapshot> servable(const UpstreamId &Id) const;
-  /// True when some upstream of \p Svc may get work and all that may are known
-  /// not to hold \p Pin.
+  /// True if at least one upstream of \p Svc accepts work and all that do are
+  /// known not to hold \p Pin.
   bool pinGone(const Service &Svc, const Snapshot &Pin, Instant Now) const;
-  /// May get new work, leaving ejection aside.
+  /// Whether \p U may receive new requests; ejection is not considered.
   bool acceptsWork(const Upstream &U, Instant Now) const;
-  /// Forgets upstreams that \p C does not have.
+  /// Removes upstreams that are not in \p C, except those with outstanding
+  /// requests.
   void retain(const Config &C);
   std::optional<ReplicaStatus> status(const UpstreamId &Id, Instant Now) const;
   std::vector<ReplicaStatus> all(Instant Now) const;
@@ -132,14 +132,15 @@
   struct Candidate;
   Replica &at(const UpstreamId &Id);
   const Replica *find(const UpstreamId &Id) const;
-  void collect(const Service &Svc, const PickWish &Wish, Instant Now);
+  void collect(const Service &Svc, const PickConstraints &Constraints,
+               Instant Now);
   void dropEjected(const Service &Svc, unsigned MaxPercent, Instant Now);
   void dropRecovering(Instant Now);
   void estimate(Instant Now);
-  Pick choose(const PickWish &Wish);
+  Pick choose(const PickConstraints &Constraints);
   const Candidate &betterOfTwo(std::size_t First, std::size_t Count,
                                Pick &Evidence);
-  const Candidate &nearOrFar(std::size_t NearCount, Pick &Evidence);
+  const Candidate &chooseByZone(std::size_t NearCount, Pick &Evidence);
   void eject(Replica &R, Instant Now);
   void onFailure(Replica &R, Instant Now);
   void learnSnapshots(Replica &R, const SubReply &Reply, Instant Now);
@@ -149,7 +150,7 @@
 
   Random &Rng;
   std::unordered_map<UpstreamId, Replica> Replicas;
-  std::vector<Candidate> Scratch; ///< Of one pick; kept to save allocations.
+  std::vector<Candidate> Scratch; ///< Reused by pick() to avoid allocations.
 };
 
 } // namespace shallot
--- a/packages/query/SnapshotChooser.cpp
+++ b/packages/query/SnapshotChooser.cpp
@@ -6,10 +6,10 @@
 namespace shallot {
 namespace {
 
-/// One pair while the services are gone through.
+/// Counters for one pair during the iteration over services.
 struct Tally {
   SnapshotChoice Choice;
-  std::size_t LastService = 0; ///< Number of the last service counted, from 1.
+  std::size_t LastService = 0; ///< Last service counted, from 1; 0: none.
   unsigned Holders = 0;        ///< Upstreams of that service.
 };
 
--- a/packages/query/SubQuery.h
+++ b/packages/query/SubQuery.h
@@ -1,6 +1,6 @@
 //===- SubQuery.h - One service's part of a search --------------*- C++ -*-===//
 //
-// The attempts at one service and what came of them. Internal to package query.
+// The attempts at one service and their outcome. Internal to package query.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_SUBQUERY_H
@@ -19,8 +19,8 @@
 
 enum class SubState : std::uint8_t {
   Waiting,
-  Answered, ///< Body is of the pinned snapshot.
-  Missing,  ///< Given up; Reason and Text say why.
+  Answered, ///< Body is from the pinned snapshot.
+  Missing,  ///< Abandoned; see Reason and Text.
 };
 
 /// One request to one upstream.
@@ -28,7 +28,7 @@
   AttemptKey Key;
   UpstreamId Target;
   Instant SentAt;
-  Instant SilentAt = Never; ///< When its silence becomes evidence.
+  Instant SilentAt = Never; ///< From then on it is silent; Never once recorded.
   bool Pinned = false;
   bool Open = true;
 };
@@ -36,20 +36,21 @@
 struct SubQuery {
   const Service *Svc = nullptr;
   SubState State = SubState::Waiting;
-  std::vector<SubAttempt> Attempts; ///< Of this pin.
-  std::vector<UpstreamId> Tried;    ///< Targets of Attempts.
-  unsigned Paid = 0;                ///< Attempts but those after a 409.
+  std::vector<SubAttempt> Attempts; ///< For the current pin.
+  std::vector<UpstreamId> Tried;    ///< Upstreams excluded from selection.
+  /// Attempts except those sent after a 409 or because no daemon had a slot.
+  unsigned CountedAttempts = 0;
   unsigned Hedges = 0;
   Instant HedgeAt = Never;
-  bool HedgeDeferred = false;   ///< Waited once because tokens were few.
-  Duration UsualLongest{0};     ///< Hedge quantile of the service's latency.
-  std::optional<SubReply> Held; ///< Came before there was a pin.
+  bool HedgeDeferred = false;            ///< Postponed once to save tokens.
+  Duration HedgeDelay{0};                ///< Hedge quantile of latency.
+  std::optional<SubReply> UnpinnedReply; ///< Received before the pin.
   UpstreamId From;
   std::string Body;
   ResultCode Reason = ResultCode::Ok;
   std::string Text;
-  bool EverRan = false; ///< Some attempt was not proven "not run".
-  /// What is to be sent when nothing else of the search is open any more.
+  bool MayHaveRun = false; ///< Some attempt may have run at an upstream.
+  /// The kind of request to send once no other attempt of the search is open.
   std::optional<TraceKind> HeldBack;
 
   const ServiceName &name() const { return (*Svc)->Name; }
--- a/packages/query/SubSender.cpp
+++ b/packages/query/SubSender.cpp
@@ -8,14 +8,15 @@
 namespace shallot {
 namespace {
 
-/// 10 digits of base 64 are 60 random bits: of a million attempts at a time in
-/// the fleet two are equal once in a million. With the number the key stays
-/// within 15 bytes, which std::string holds without an allocation.
+/// 10 base-64 digits are 60 random bits: the probability that any two of a
+/// million concurrent attempts in the fleet collide is about one in a million.
+/// With the number appended, the key fits into the 15 bytes that std::string
+/// holds without an allocation.
 constexpr std::size_t NonceDigits = 10;
 constexpr std::string_view Alphabet =
     "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_";
 
-std::string mintNonce(Random &Rng) {
+std::string makeNonce(Random &Rng) {
   std::string Text(NonceDigits, '0');
   std::uint64_t Bits = Rng();
   for (char &C : Text) {
@@ -27,22 +28,23 @@
 
 } // namespace
 
-SubSender::SubSender(const QuerySpec &Spec, QueryContext &Tools, Instant Begin,
-                     Instant FinishBy)
-    : Spec(Spec), Tools(Tools), Begin(Begin), FinishBy(FinishBy),
-      Nonce(mintNonce(Tools.Rng)) {
+SubSender::SubSender(const QuerySpec &Spec, QueryContext &Context,
+                     Instant Begin, Instant FinishBy)
+    : Spec(Spec), Context(Context), Begin(Begin), FinishBy(FinishBy),
+      Nonce(makeNonce(Context.Rng)) {
   Places.reserve(Spec.Services.size() + Spec.Services.size() / 8);
 }
 
 std::optional<Pick> SubSender::pick(const SubQuery &Sub,
                                     const std::optional<Snapshot> &Pin,
                                     Instant Now) {
-  PickWish Wish{Pin, Sub.Tried, Tools.Zone,
-                Spec.Conf->preset()->EjectMaxPercent, Spec.Parts.Pick};
-  return Tools.Replicas.pick(*Sub.Svc, Wish, Now);
+  PickConstraints Constraints{Pin, Sub.Tried, Context.Zone,
+                              Spec.Conf->preset()->EjectMaxPercent,
+                              Spec.Parts.Pick};
+  return Context.Replicas.pick(*Sub.Svc, Constraints, Now);
 }
 
-AttemptKey SubSender::mintKey() {
+AttemptKey SubSender::makeKey() {
   return AttemptKey(fmt::format("{}.{}", Nonce, Places.size()));
 }
 
@@ -89,24 +91,24 @@
                      const std::optional<Snapshot> &Pin, TraceKind Kind,
                      Instant Now, QueryCommands &Out) {
   const UpstreamId &Target = (*To.Target)->Id;
-  AttemptKey Key = mintKey();
+  AttemptKey Key = makeKey();
   SendSub Command{Key, requestFor(Sub, Key, To, Pin, Now),
                   Kind == TraceKind::Hedged, Kind == TraceKind::Retried};
   Places.push_back({SubNumber, Sub.Attempts.size()});
   Sub.Attempts.push_back(
       {std::move(Key), Target, Now,
-       Now + std::max(SilenceFloor, Sub.UsualLongest * SilenceFactor),
+       Now + std::max(MinSilence, Sub.HedgeDelay * SilenceFactor),
        Pin.has_value(), true});
   Sub.Tried.push_back(Target);
   if (Kind != TraceKind::Reasked)
-    ++Sub.Paid;
-  Tools.Replicas.onSent(Target, Now);
+    ++Sub.CountedAttempts;
+  Context.Replicas.onSent(Target, Now);
   count(Kind);
   TraceEvent E;
   E.Kind = Kind;
   E.Service = Sub.name();
   E.Upstream = Target;
-  E.Over = To.Over;
+  E.Alternative = To.Alternative;
   E.Why = To.Why;
   E.Expected = To.Expected;
   trace(std::move(E), Now);
@@ -130,13 +132,13 @@
                       Instant Now) {
   A.Open = false;
   if (!provesNotRun(Reply.Code))
-    Sub.EverRan = true;
+    Sub.MayHaveRun = true;
   Cost.Crashed += Reply.Crashed;
-  Cost.Unseen +=
-      noUpstreamSaw(Reply.Code) || Reply.Code == ResultCode::ConnectFailed;
-  Tools.Replicas.onReply(A.Target, A.SentAt, Reply, Now);
+  Cost.NotReceived += refusedBeforeUpstream(Reply.Code) ||
+                      Reply.Code == ResultCode::ConnectFailed;
+  Context.Replicas.onReply(A.Target, A.SentAt, Reply, Now);
   if (Reply.Code == ResultCode::Ok)
-    Tools.Latency.add(Spec.Owner, Sub.name(), Now - A.SentAt);
+    Context.Latency.add(Spec.Owner, Sub.name(), Now - A.SentAt);
   TraceEvent E;
   E.Kind = TraceKind::Replied;
   E.Service = Sub.name();
@@ -151,17 +153,18 @@
   for (SubAttempt &A : Sub.Attempts) {
     if (!A.Open)
       continue;
-    // Overtaken: a later request to another upstream was faster.
+    // Overtaken: a later request to another upstream answered first.
     bool Overtaken =
-        Sub.State == SubState::Answered && Now - A.SentAt >= Sub.UsualLongest;
+        Sub.State == SubState::Answered && Now - A.SentAt >= Sub.HedgeDelay;
     if (A.SilentAt != Never && (Overtaken || Now >= A.SilentAt))
-      noteSilence(Sub, A, Now, Out);
+      recordSilence(Sub, A, Now, Out);
     A.Open = false;
-    Sub.EverRan = true;
-    Tools.Replicas.onCancelled(A.Target, A.SentAt, Now);
-    // A loser took at least this long. Were only winners counted, the measured
-    // quantile would fall with every hedge and cause more of them.
-    Tools.Latency.add(Spec.Owner, Sub.name(), Now - A.SentAt);
+    Sub.MayHaveRun = true;
+    Context.Replicas.onCancelled(A.Target, A.SentAt, Now);
+    // A cancelled attempt took at least this long. If only winning attempts
+    // were counted, the quantile would fall with every hedge and cause more
+    // hedges.
+    Context.Latency.add(Spec.Owner, Sub.name(), Now - A.SentAt);
     TraceEvent E;
     E.Kind = TraceKind::Cancelled;
     E.Service = Sub.name();
@@ -172,19 +175,19 @@
   }
 }
 
-void SubSender::noteSilence(const SubQuery &Sub, SubAttempt &A, Instant Now,
-                            QueryCommands &Out) {
+void SubSender::recordSilence(const SubQuery &Sub, SubAttempt &A, Instant Now,
+                              QueryCommands &Out) {
   A.SilentAt = Never;
-  SilenceVerdict Verdict = Tools.Replicas.onSilent(A.Target, A.SentAt, Now);
+  SilenceAction Action = Context.Replicas.onSilent(A.Target, A.SentAt, Now);
   TraceEvent E;
   E.Kind = TraceKind::Silent;
   E.Service = Sub.name();
   E.Upstream = A.Target;
   E.Took = Now - A.SentAt;
   trace(E, Now);
-  if (Verdict == SilenceVerdict::Wait)
+  if (Action == SilenceAction::Wait)
     return;
-  bool Replace = Verdict == SilenceVerdict::ReplaceConnection;
+  bool Replace = Action == SilenceAction::ReplaceConnection;
   E.Kind = Replace ? TraceKind::ReplacedConnection : TraceKind::BlamedReplica;
   trace(std::move(E), Now);
   if (Replace)
@@ -192,10 +195,10 @@
 }
 
 void SubSender::trace(TraceEvent E, Instant Now) {
-  if (!Tools.Traces)
+  if (!Context.Traces)
     return;
   E.At = Now - Begin;
-  Tools.Traces->add(Spec.Id, E);
+  Context.Traces->add(Spec.Id, E);
 }
 
 void SubSender::trace(TraceKind Kind, const SubQuery &Sub, Instant Now,
--- a/packages/query/TraceRing.cpp
+++ b/packages/query/TraceRing.cpp
@@ -7,7 +7,7 @@
 namespace shallot {
 namespace {
 
-/// What a held request costs beside its rows: map node, names, list entry.
+/// Memory of a trace besides its rows: map node, names and queue entry.
 constexpr std::size_t TraceOverheadBytes = 256;
 
 std::uint32_t micros(Duration D) {
@@ -39,8 +39,8 @@
   if (isSend(E.Kind)) {
     J["why"] = nameOf(E.Why);
     J["expected_ms"] = toMillisF(E.Expected);
-    if (!E.Over.empty())
-      J["over"] = E.Over.str();
+    if (!E.Alternative.empty())
+      J["over"] = E.Alternative.str();
   }
   if (hasCode(E.Kind)) {
     J["code"] = codeLabel(E.Code);
@@ -103,16 +103,16 @@
 
 TraceRing::TraceRing(TraceLimits Limits) : Limits(Limits) {}
 
-TraceRing::NameNumber TraceRing::numberOf(const std::string &Name) {
+TraceRing::NameId TraceRing::internName(const std::string &Name) {
   if (Name.empty())
     return 0;
-  auto It = Numbers.find(Name);
-  if (It != Numbers.end())
+  auto It = NameIds.find(Name);
+  if (It != NameIds.end())
     return It->second;
   if (Names.size() >= Limits.Names)
     return 0;
-  auto Number = static_cast<NameNumber>(Names.size() + 1);
-  It = Numbers.emplace(Name, Number).first;
+  auto Number = static_cast<NameId>(Names.size() + 1);
+  It = NameIds.emplace(Name, Number).first;
   Names.push_back(&It->first);
   return Number;
 }
@@ -120,9 +120,9 @@
 TraceRing::Row TraceRing::pack(Trace &T, const TraceEvent &E) {
   Row R;
   R.AtNs = E.At.count();
-  R.Service = numberOf(E.Service.str());
-  R.Upstream = numberOf(E.Upstream.str());
-  R.Over = numberOf(E.Over.str());
+  R.Service = internName(E.Service.str());
+  R.Upstream = internName(E.Upstream.str());
+  R.Alternative = internName(E.Alternative.str());
   R.Count = E.Count;
   R.TookUs = micros(E.Took);
   R.ExpectedUs = micros(E.Expected);
@@ -133,13 +133,13 @@
     auto It = std::ranges::find(T.Pins, E.Pin);
     if (It == T.Pins.end())
       It = T.Pins.insert(T.Pins.end(), E.Pin);
-    R.PinNumber = static_cast<std::uint32_t>(It - T.Pins.begin() + 1);
+    R.PinIndex = static_cast<std::uint32_t>(It - T.Pins.begin() + 1);
   }
   return R;
 }
 
 TraceEvent TraceRing::unpack(const Trace &T, const Row &R) const {
-  auto NameOf = [&](NameNumber N) {
+  auto NameOf = [&](NameId N) {
     return N == 0 ? std::string() : *Names[N - 1];
   };
   TraceEvent E;
@@ -147,18 +147,18 @@
   E.At = Duration(R.AtNs);
   E.Service = ServiceName(NameOf(R.Service));
   E.Upstream = UpstreamId(NameOf(R.Upstream));
-  E.Over = UpstreamId(NameOf(R.Over));
+  E.Alternative = UpstreamId(NameOf(R.Alternative));
   E.Why = R.Why;
   E.Code = R.Code;
   E.Took = Micros(R.TookUs);
   E.Expected = Micros(R.ExpectedUs);
   E.Count = R.Count;
-  if (R.PinNumber > 0)
-    E.Pin = T.Pins[R.PinNumber - 1];
+  if (R.PinIndex > 0)
+    E.Pin = T.Pins[R.PinIndex - 1];
   return E;
 }
 
-void TraceRing::drop(const RequestId &Id) {
+void TraceRing::removeTrace(const RequestId &Id) {
   auto It = Traces.find(Id);
   if (It == Traces.end())
     return;
@@ -166,10 +166,10 @@
   Traces.erase(It);
 }
 
-void TraceRing::makeRoom() {
+void TraceRing::evictOldest() {
   while (Order.size() > 1 &&
          (Order.size() > Limits.Requests || Bytes > Limits.Bytes)) {
-    drop(Order.front());
+    removeTrace(Order.front());
     Order.pop_front();
   }
 }
@@ -177,13 +177,13 @@
 void TraceRing::begin(const RequestId &Id, const Tenant &Owner,
                       const CallerClass &Class) {
   if (Traces.contains(Id)) {
-    drop(Id);
+    removeTrace(Id);
     std::erase(Order, Id);
   }
   Traces.emplace(Id, Trace{Owner, Class, {}, {}, 0});
   Order.push_back(Id);
   Bytes += TraceOverheadBytes;
-  makeRoom();
+  evictOldest();
 }
 
 void TraceRing::add(const RequestId &Id, const TraceEvent &Event) {
@@ -197,7 +197,7 @@
   }
   T.Rows.push_back(pack(T, Event));
   Bytes += sizeof(Row);
-  makeRoom();
+  evictOldest();
 }
 
 std::vector<TraceEvent> TraceRing::events(const RequestId &Id) const {
@@ -213,8 +213,8 @@
   auto It = Traces.find(Id);
   if (It == Traces.end())
     return fail(ResultCode::UnknownRequest,
-                fmt::format("request '{}' is not among the last {} that this "
-                            "daemon remembers; ask the daemon that answered it",
+                fmt::format("request '{}' is not among the last {} traces of "
+                            "this daemon; ask the daemon that answered it",
                             Id.str(), Traces.size()));
   const Trace &T = It->second;
   nlohmann::json J{{"request", Id.str()},
--- a/packages/query/TraceRing.h
+++ b/packages/query/TraceRing.h
@@ -1,9 +1,8 @@
-//===- TraceRing.h - Why a recent request went as it did --------*- C++ -*-===//
+//===- TraceRing.h - Traces of recent requests ------------------*- C++ -*-===//
 //
-// Typed events of the last requests in a ring of bounded memory, so that an
-// operator can ask by request id which upstreams were asked, why those, what
-// was hedged, refused or missing and why. Explains what is recent; it is not a
-// log.
+// Typed events of the last requests in a ring of bounded memory. By request id
+// an operator can look up which upstreams were selected and why, and what was
+// hedged, refused or missing. It covers recent requests only and is not a log.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_TRACERING_H
@@ -20,24 +19,24 @@
 namespace shallot {
 
 enum class TraceKind : std::uint8_t {
-  PinChosen, ///< Pin; Count of services known to serve it.
+  PinChosen, ///< Pin; Count: services known to serve it.
   AskedUnpinned,
   Sent, ///< Service, Upstream, Why, Expected.
   Hedged,
   Retried,
   Reasked,
-  HedgeDenied, ///< The budget is used up.
+  HedgeDenied, ///< The budget is exhausted.
   RetryDenied,
   Replied,   ///< Service, Upstream, Code, Took.
-  NotUsed,   ///< A reply that is not ours, late or of another snapshot.
-  Cancelled, ///< A loser.
-  Silent,    ///< Unusually long without a word.
+  NotUsed,   ///< A reply from a snapshot other than the pin.
+  Cancelled, ///< No longer needed.
+  Silent,    ///< No reply for an unusually long time.
   ReplacedConnection,
   BlamedReplica,
-  PinVanished, ///< Service: nobody holds the pin.
+  PinVanished, ///< Service: no usable upstream holds the pin.
   Restarted,   ///< On Pin.
-  GaveUp,      ///< Service is missing, Code says why.
-  HeldBack,    ///< Service is asked when nothing else is open: upstreams crash.
+  GaveUp,      ///< Service is missing; Code is the reason.
+  HeldBack,    ///< Deferred until no attempt is open: upstreams crashed.
   Finished,    ///< Code.
 };
 std::string_view nameOf(TraceKind K);
@@ -47,7 +46,7 @@
   Duration At{0}; ///< Since the request began.
   ServiceName Service;
   UpstreamId Upstream;
-  UpstreamId Over; ///< The one it was preferred to.
+  UpstreamId Alternative; ///< The rejected alternative.
   PickReason Why = PickReason::Only;
   ResultCode Code = ResultCode::Ok;
   Duration Took{0};
@@ -56,46 +55,47 @@
   unsigned Count = 0;
 };
 
-/// Bounds: requests kept, events of one, bytes of all, names remembered.
+/// Bounds on requests, events per request, total bytes and interned names.
 struct TraceLimits {
   std::size_t Requests = 4096;
   std::size_t EventsPerRequest = 1024; ///< A fan-out of 512 and its replies.
   std::size_t Bytes = 8 << 20;         ///< A sixteenth of a daemon's 128 MB.
-  std::size_t Names = 1 << 16; ///< Six times the upstreams designed for.
+  std::size_t Names = 1 << 16; ///< Six times the design number of upstreams.
 };
 
 class TraceRing {
 public:
   explicit TraceRing(TraceLimits Limits = {});
 
-  /// Opens a trace; one of the same id is replaced. The oldest make room.
+  /// Starts a trace, replacing one of the same id and evicting the oldest
+  /// traces beyond the bounds.
   void begin(const RequestId &Id, const Tenant &Owner,
              const CallerClass &Class);
-  /// Events of an unknown request are dropped; beyond the bound they are only
-  /// counted.
+  /// Discards events of an unknown request. Events beyond EventsPerRequest are
+  /// only counted.
   void add(const RequestId &Id, const TraceEvent &Event);
 
   /// The trace as a JSON object. Fails with UnknownRequest.
   Result<std::string> toJson(const RequestId &Id) const;
-  /// The events of a request, oldest first; empty when it is not held.
+  /// The events of a request, oldest first; empty if there is no such trace.
   std::vector<TraceEvent> events(const RequestId &Id) const;
   std::size_t size() const { return Traces.size(); }
   std::size_t bytes() const { return Bytes; }
 
 private:
-  using NameNumber = std::uint32_t; ///< 0: no name.
+  using NameId = std::uint32_t; ///< 0: no name.
 
-  /// A TraceEvent with numbers for names: 48 bytes instead of 170, so that the
-  /// ring reaches back three times as far.
+  /// A TraceEvent with interned names: 48 bytes instead of 170, so that the
+  /// ring holds three times as many events.
   struct Row {
     std::int64_t AtNs = 0;
-    NameNumber Service = 0;
-    NameNumber Upstream = 0;
-    NameNumber Over = 0;
+    NameId Service = 0;
+    NameId Upstream = 0;
+    NameId Alternative = 0;
     std::uint32_t Count = 0;
     std::uint32_t TookUs = 0;
     std::uint32_t ExpectedUs = 0;
-    std::uint32_t PinNumber = 0; ///< Into Trace::Pins, from 1.
+    std::uint32_t PinIndex = 0; ///< Index into Trace::Pins plus 1; 0: none.
     ResultCode Code = ResultCode::Ok;
     TraceKind Kind = TraceKind::Sent;
     PickReason Why = PickReason::Only;
@@ -104,22 +104,22 @@
     Tenant Owner;
     CallerClass Class;
     std::vector<Row> Rows;
-    std::vector<Snapshot> Pins; ///< A handful at most.
+    std::vector<Snapshot> Pins; ///< Distinct pins; only a few.
     std::size_t Dropped = 0;
   };
 
-  NameNumber numberOf(const std::string &Name);
+  NameId internName(const std::string &Name);
   Row pack(Trace &T, const TraceEvent &E);
   TraceEvent unpack(const Trace &T, const Row &R) const;
-  void drop(const RequestId &Id);
-  void makeRoom();
+  void removeTrace(const RequestId &Id);
+  void evictOldest();
 
   TraceLimits Limits;
   std::unordered_map<RequestId, Trace> Traces;
   std::deque<RequestId> Order; ///< Oldest first.
   std::size_t Bytes = 0;
-  std::unordered_map<std::string, NameNumber> Numbers;
-  std::vector<const std::string *> Names; ///< Keys of Numbers.
+  std::unordered_map<std::string, NameId> NameIds;
+  std::vector<const std::string *> Names; ///< Keys of NameIds.
 };
 
 } // namespace shallot
--- a/packages/query/include/shallotshift/query.h
+++ b/packages/query/include/shallotshift/query.h
@@ -1,11 +1,11 @@
-//===- shallotshift/query.h - The decisions of one search -------*- C++ -*-===//
+//===- shallotshift/query.h - Decisions of one search -----------*- C++ -*-===//
 //
 // The public header of package query: one search as a pure state machine
-// (QueryRun.h), its answer with honest coverage (QueryAnswer.h), what is known
-// of upstreams from our own observations (ReplicaTable.h, LatencyModel.h), the
-// choice of one snapshot (SnapshotChooser.h) and the explanation of recent
-// requests (TraceRing.h). Hedges and retries are paid from the budgets of
-// package limits. No I/O, no clock.
+// (QueryRun.h), its answer and coverage (QueryAnswer.h), per-upstream state
+// from this daemon's own observations (ReplicaTable.h, LatencyModel.h), the
+// choice of one snapshot (SnapshotChooser.h) and the trace of recent requests
+// (TraceRing.h). Hedges and retries draw on the budgets of package limits. The
+// package does no I/O and reads no clock.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_H
--- a/tests/correctness/UpstreamsAreChosenByWhatWeSaw.cpp
+++ b/tests/correctness/UpstreamsAreChosenByWhatWeSaw.cpp
@@ -1,4 +1,4 @@
-// Load, zone, shedding, draining and ejection in the choice of an upstream.
+// Selection of an upstream by load, zone, shedding, draining and ejection.
 #include "correctness/QueryFixture.h"
 
 #include <doctest/doctest.h>
@@ -13,10 +13,11 @@
   Daemon D{11};
   const Service &Svc = *C->find(Tenant("khan"), ServiceName("s0")).Svc;
 
-  std::map<UpstreamId, unsigned> count(Instant Now, const PickWish &Wish) {
+  std::map<UpstreamId, unsigned> count(Instant Now,
+                                       const PickConstraints &Constraints) {
     std::map<UpstreamId, unsigned> N;
     for (int I = 0; I < 1000; ++I)
-      if (auto P = D.Replicas.pick(Svc, Wish, Now))
+      if (auto P = D.Replicas.pick(Svc, Constraints, Now))
         ++N[(*P->Target)->Id];
     return N;
   }
@@ -28,17 +29,17 @@
 
 } // namespace
 
-TEST_CASE("our zone is preferred until it is clearly worse") {
+TEST_CASE("the local zone is preferred until it is clearly slower") {
   Picks P;
   P.D.teach(*P.C, {{41, 7}}, at(0));
-  PickWish Wish;
-  Wish.Near = AvailabilityZone("z1");
-  CHECK(P.count(at(1), Wish)[U1] == 1000);
+  PickConstraints Constraints;
+  Constraints.Near = AvailabilityZone("z1");
+  CHECK(P.count(at(1), Constraints)[U1] == 1000);
   P.D.Replicas.onSent(U1, at(1));
-  CHECK(P.count(at(1), Wish)[U1] == 0);
+  CHECK(P.count(at(1), Constraints)[U1] == 0);
 }
 
-TEST_CASE("one that owes replies is avoided before anything is concluded") {
+TEST_CASE("an upstream with late replies is avoided before it is ejected") {
   Picks P;
   P.D.teach(*P.C, {{41, 7}}, at(0));
   for (const UpstreamId &Id : {U0, U1, U2})
@@ -51,7 +52,7 @@
   CHECK(P.count(at(36), {})[U0] == 0);
 }
 
-TEST_CASE("ejection never leaves out more than its share nor the last one") {
+TEST_CASE("ejection respects its maximum share and keeps the last upstream") {
   Picks P;
   SubReply Failed = failure(ResultCode::ConnectFailed);
   for (const UpstreamId &Id : {U0, U1, U2})
@@ -62,13 +63,13 @@
   for (const ReplicaStatus &S : P.D.Replicas.all(at(5)))
     CHECK(S.Ejected);
   CHECK(P.count(at(5), {}).size() == 2);
-  PickWish Last;
+  PickConstraints Last;
   std::vector<UpstreamId> Tried{U0, U1};
   Last.Exclude = Tried;
   CHECK(P.count(at(5), Last)[U2] == 1000);
 }
 
-TEST_CASE("one that shed gets less and returns gradually") {
+TEST_CASE("an upstream that shed load gets less work and recovers gradually") {
   Picks P;
   P.D.teach(*P.C, {{41, 7}}, at(0));
   P.D.Replicas.onSent(U0, at(1));
@@ -80,7 +81,7 @@
   CHECK(Later < Whole);
 }
 
-TEST_CASE("one that drains gets nothing, until it says otherwise") {
+TEST_CASE("a draining upstream gets no work until it reports otherwise") {
   Picks P;
   SubReply Leaving = okReply({41, 7});
   Leaving.Draining = true;
--- a/tests/failure/SilentUpstreams.cpp
+++ b/tests/failure/SilentUpstreams.cpp
@@ -1,54 +1,54 @@
-// An upstream takes requests and says nothing. First its connections are
-// replaced: something between may have lost track of them, and the caller's
-// work has moved to another upstream meanwhile. Silent on new connections too,
-// it is ejected; one that answers there is not blamed.
+// An upstream accepts requests and does not answer. Its connections are
+// replaced first, because an intermediary may have lost their state; the
+// request is retried at another upstream meanwhile. If the upstream is silent
+// on new connections too, it is ejected; if it answers there, it is not.
 #include "correctness/QueryOwner.h"
 
 using namespace shallot;
 
 namespace {
 
-const UpstreamId Quiet("s0-u0");
+const UpstreamId Silent("s0-u0");
 
 /// Three requests that stay silent for 30 ms each.
-SilenceVerdict silentThrice(ReplicaTable &T, double FromMs) {
-  SilenceVerdict Last = SilenceVerdict::Wait;
+SilenceAction sendThreeSilent(ReplicaTable &T, double FromMs) {
+  SilenceAction Last = SilenceAction::Wait;
   for (int I = 0; I < 3; ++I) {
-    T.onSent(Quiet, at(FromMs + I));
-    Last = T.onSilent(Quiet, at(FromMs + I), at(FromMs + I + 30));
-    T.onCancelled(Quiet, at(FromMs + I), at(FromMs + I + 30));
+    T.onSent(Silent, at(FromMs + I));
+    Last = T.onSilent(Silent, at(FromMs + I), at(FromMs + I + 30));
+    T.onCancelled(Silent, at(FromMs + I), at(FromMs + I + 30));
   }
   return Last;
 }
 
 } // namespace
 
-TEST_CASE("connections are replaced first, the replica is blamed second") {
+TEST_CASE("connections are replaced before the replica is ejected") {
   Daemon D(5);
-  CHECK(silentThrice(D.Replicas, 0) == SilenceVerdict::ReplaceConnection);
-  CHECK_FALSE(D.Replicas.status(Quiet, at(40))->Ejected);
-  CHECK(silentThrice(D.Replicas, 50) == SilenceVerdict::BlameReplica);
-  CHECK(D.Replicas.status(Quiet, at(100))->Ejected);
-  CHECK_FALSE(D.Replicas.status(Quiet, at(100) + Seconds(2))->Ejected);
-  CHECK(D.Replicas.status(Quiet, at(100) + Seconds(2))->Weight < 1);
+  CHECK(sendThreeSilent(D.Replicas, 0) == SilenceAction::ReplaceConnection);
+  CHECK_FALSE(D.Replicas.status(Silent, at(40))->Ejected);
+  CHECK(sendThreeSilent(D.Replicas, 50) == SilenceAction::EjectReplica);
+  CHECK(D.Replicas.status(Silent, at(100))->Ejected);
+  CHECK_FALSE(D.Replicas.status(Silent, at(100) + Seconds(2))->Ejected);
+  CHECK(D.Replicas.status(Silent, at(100) + Seconds(2))->Weight < 1);
 }
 
-TEST_CASE("a reply on a new connection clears the replica") {
+TEST_CASE("a reply on a new connection prevents the ejection") {
   Daemon D(5);
-  silentThrice(D.Replicas, 0);
-  D.teachOne(Quiet, {{41, 7}}, at(60));
-  CHECK(silentThrice(D.Replicas, 70) == SilenceVerdict::ReplaceConnection);
+  sendThreeSilent(D.Replicas, 0);
+  D.teachOne(Silent, {{41, 7}}, at(60));
+  CHECK(sendThreeSilent(D.Replicas, 70) == SilenceAction::ReplaceConnection);
 }
 
-TEST_CASE("a straggler beside replies is no silence") {
+TEST_CASE("a straggler among other replies does not count as silence") {
   Daemon D(5);
-  D.Replicas.onSent(Quiet, at(0));
-  D.teachOne(Quiet, {{41, 7}}, at(20));
+  D.Replicas.onSent(Silent, at(0));
+  D.teachOne(Silent, {{41, 7}}, at(20));
   for (int I = 0; I < 9; ++I)
-    CHECK(D.Replicas.onSilent(Quiet, at(0), at(30)) == SilenceVerdict::Wait);
+    CHECK(D.Replicas.onSilent(Silent, at(0), at(30)) == SilenceAction::Wait);
 }
 
-TEST_CASE("a silent request is moved and its late reply is not used twice") {
+TEST_CASE("a silent request is retried and a late reply is not used twice") {
   ConfigPtr C = makeConfig({1, 3});
   Daemon D(9);
   D.teach(*C, {{41, 7}}, at(-10));
