--- a/tests/correctness/DocumentsRoundTrip.cpp
+++ b/tests/correctness/DocumentsRoundTrip.cpp
@@ -1,4 +1,4 @@
-// What is written is read back as the same value with the same bytes, so that
+// Encoding and decoding returns the same value and the same bytes, so that
 // equal values always have equal content hashes.
 #include "ConfigFixture.h"
 
@@ -9,7 +9,7 @@
 
 constexpr unsigned Rounds = 300;
 
-std::string randomReplicas(Random &Rng, unsigned Number) {
+std::string randomBook(Random &Rng, unsigned Number) {
   static const char *const Names[] = {"legacy arrears", "Götaland 50 m",
                                       "Улаанбаатар", "a\"b\\c", "x"};
   return fmt::format("{} {}", Names[below(Rng, 5)], Number);
@@ -21,7 +21,7 @@
     ServiceFields F;
     F.Name = ServiceName(fmt::format("s/{}", S));
     for (unsigned B = 0, Books = 1 + below(Rng, 4); B < Books; ++B)
-      F.Books.push_back(randomReplicas(Rng, B));
+      F.Books.push_back(randomBook(Rng, B));
     for (unsigned U = 0, Ups = below(Rng, 4); U < Ups; ++U) {
       UpstreamFields Up =
           upstreamFields(fmt::format("{}-{}", S, U), below(Rng, 60000));
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("groups and presets survive being written and read") {
+TEST_CASE("groups and presets round-trip") {
   Random Rng(11);
   for (unsigned Round = 0; Round < Rounds; ++Round) {
     Group G = randomGroup(Rng);
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_CASE("a head survives being written and read") {
+TEST_CASE("a head round-trips") {
   ConfigPtr C = configOf(draftOfSize(3, 2));
   Head Back = good([&] { return decodeHead(encode(C->head())); });
   CHECK(Back == C->head());
@@ -77,7 +77,7 @@
   CHECK(Back.find(ChangeId("first"))->Operator == "bat");
 }
 
-TEST_CASE("an object shown to an operator can be applied again") {
+TEST_CASE("a displayed object can be applied again") {
   Draft D = draftOfSize(2, 2);
   std::map<std::string, std::string> All = documentsOf(D);
   CHECK(All.size() == 4 + 12 + 2);
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("the order in which things are written does not matter") {
+TEST_CASE("the encoding does not depend on the order of services") {
   Draft D = draftOfSize(1, 3);
   GroupFields F = *D.Groups[0];
   std::reverse(F.Services.begin(), F.Services.end());
--- a/tests/correctness/DraftsAreEdited.cpp
+++ b/tests/correctness/DraftsAreEdited.cpp
@@ -1,11 +1,11 @@
-// What an operator's documents do to a configuration, and which objects of the
-// platform a change rewrites.
+// The effect of operators' documents on a configuration, and the objects of the
+// platform that a change rewrites.
 #include "ConfigFixture.h"
 
 using namespace shallot;
 using namespace shallot::test;
 
-TEST_CASE("the first preset comes into force, later ones only on request") {
+TEST_CASE("the first preset takes effect, later ones only on request") {
   Draft D =
       good([&] { return applyDocuments(Draft{}, {presetFields("ordinary")}); });
   CHECK(D.PresetInForce.str() == "ordinary");
@@ -15,7 +15,7 @@
   CHECK(D.PresetInForce.str() == "a-peak");
 }
 
-TEST_CASE("an upstream may stand before its service in a file") {
+TEST_CASE("an upstream may precede its service in a file") {
   Draft D = good([&] {
     return applyDocuments(Draft{}, {upstreamDoc("g", "s", "u", 1),
                                     presetFields("p"), serviceDoc("g", "s")});
@@ -38,7 +38,7 @@
   CHECK(S->Upstreams.size() == 3);
 }
 
-TEST_CASE("what is in use cannot be removed") {
+TEST_CASE("an object in use cannot be removed") {
   Draft D = draftOfSize(1, 1);
   auto CodeOf = [&](const char *Path) {
     return bad([&] { return removeObject(D, Path); }).Code;
@@ -52,7 +52,7 @@
   CHECK(CodeOf("") == ResultCode::UnknownKind);
 }
 
-TEST_CASE("a group without services is gone") {
+TEST_CASE("a group without services is removed") {
   Draft D = draftOfSize(2, 1);
   for (const char *Path :
        {"upstream/g01-s00-a", "upstream/g01-s00-b", "upstream/g01-s00-c",
@@ -61,7 +61,7 @@
   CHECK(D == draftOfSize(1, 1));
 }
 
-TEST_CASE("differences say what changed, object by object") {
+TEST_CASE("differences list the changes of each object") {
   Draft Old = draftOfSize(1, 1);
   UpstreamDoc U = upstreamDoc("group-00", "g00-s00", "g00-s00-a", 0);
   U.Fields.Slots = 3;
@@ -79,7 +79,7 @@
   CHECK(changedObjects(Old, New).contains("upstream/g00-s00-b"));
 }
 
-TEST_CASE("a change rewrites only the group that it touches") {
+TEST_CASE("a change rewrites only the group that it modifies") {
   ConfigPtr Before = configOf(draftOfSize(5, 2));
   UpstreamDoc U = upstreamDoc("group-03", "g03-s01", "g03-s01-b", 0);
   U.Fields.Leaving = true;
@@ -91,7 +91,7 @@
   CHECK(P.After->findUpstream(UpstreamId("g03-s01-b"))->operator->()->Leaving);
 }
 
-TEST_CASE("the head forgets the oldest of its changes") {
+TEST_CASE("the head discards its oldest changes") {
   ConfigPtr C = configOf(draftOfSize(1, 1));
   for (unsigned N = 0; N < MaxRecentChanges; ++N)
     C = good([&] {
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -1,8 +1,8 @@
-// Whatever the order of replies, losses, crashes, version changes,
-// cancellations, duplicates, late and mislabelled replies: one answer, of one
-// snapshot, with truthful coverage, within the budgets; and a search that
-// crashes whatever runs it ends few upstreams. 24,000 random histories, fixed
-// seeds.
+// Property test over 24,000 random histories with fixed seeds. For any order of
+// replies, losses, crashes, version changes, cancellations, duplicates, and
+// late or mislabelled replies, a search gives exactly one answer from one
+// snapshot, with correct coverage and within the budgets, and a search that
+// crashes every upstream that runs it crashes only a few.
 #include "correctness/QueryOwner.h"
 
 #include <map>
@@ -15,11 +15,11 @@
 constexpr unsigned Histories = 24000;
 constexpr unsigned QueriesPerDaemon = 12;
 
-/// Who gets these is not asked to come back.
-const std::set<ResultCode> Final{ResultCode::ReplicasCrashed,
-                                 ResultCode::RequestCrashes};
+/// Codes without a Retry-After.
+const std::set<ResultCode> WithoutRetryAfter{ResultCode::ReplicasCrashed,
+                                             ResultCode::RequestCrashes};
 
-/// Upstreams whose versions roll forward at random times, one by one.
+/// Upstreams whose versions advance at random times, one by one.
 struct Fleet {
   std::map<UpstreamId, std::vector<Snapshot>> Holds;
 
@@ -59,7 +59,7 @@
     QuerySpec Spec = makeSpec(C, Policy, Deadline);
     if (below(D.Rng, 8) == 0)
       Spec.Parts = StrategyParts::of(Strategy::Baseline);
-    Deadly = below(D.Rng, 6) == 0;
+    CrashesUpstreams = below(D.Rng, 6) == 0;
     if (below(D.Rng, 6) == 0) {
       Spec.Care = below(D.Rng, 2) == 0 ? Caution::OneAtATime : Caution::OneSend;
       Spec.CrashedBefore = 1 + below(D.Rng, 3);
@@ -73,10 +73,10 @@
     O.take(Run.value().start(Now));
     for (int Step = 0; Step < 2000 && O.Answers.empty(); ++Step)
       step(Run.value());
-    afterwards(Run.value());
-    judge(Policy);
-    if (Deadly)
-      judgeCrashes(Spec);
+    checkAfterFinish(Run.value());
+    checkAnswer(Policy);
+    if (CrashesUpstreams)
+      checkCrashes(Spec);
     const QueryCost &Cost = O.Answers.front().Cost;
     double Asked = static_cast<double>(Spec.Services.size());
     // 1.4 + 0.6 is a little below 2 in floating point.
@@ -100,10 +100,11 @@
     case 0:
       return wake(Run);
     case 1:
-      return feed(Run, AttemptKey("nobody.0"), okReply({41, 7}));
+      return deliver(Run, AttemptKey("nobody.0"), okReply({41, 7}));
     case 2:
-      if (!Past.empty()) // Late or twice.
-        feed(Run, Past[below(D.Rng, Past.size())], okReply({41, 7}));
+      if (!ClosedKeys.empty()) // Late or duplicate.
+        deliver(Run, ClosedKeys[below(D.Rng, ClosedKeys.size())],
+                okReply({41, 7}));
       return;
     case 3:
       if (!O.All.empty())
@@ -134,21 +135,21 @@
     std::size_t I = below(D.Rng, O.Sent.size());
     SendSub S = O.Sent[I];
     O.Sent.erase(O.Sent.begin() + static_cast<std::ptrdiff_t>(I));
-    Past.push_back(S.Key);
-    SubReply Reply = answerOf(S.Request);
+    ClosedKeys.push_back(S.Key);
+    SubReply Reply = makeReply(S.Request);
     if (Reply.Code == ResultCode::Ok)
-      Fed[S.Key].insert(Reply.Served);
-    feed(Run, S.Key, Reply);
+      Delivered[S.Key].insert(Reply.Served);
+    deliver(Run, S.Key, Reply);
   }
 
-  SubReply answerOf(const SubRequest &R) {
+  SubReply makeReply(const SubRequest &R) {
     static constexpr ResultCode Failures[] = {
         ResultCode::UpstreamShed,     ResultCode::UpstreamDraining,
         ResultCode::ConnectionClosed, ResultCode::ConnectFailed,
         ResultCode::SilentConnection, ResultCode::NoHolder,
         ResultCode::TransferTimeout,  ResultCode::UpstreamVersionGone};
-    if (Deadly || below(D.Rng, 40) == 0)
-      return crashOf(R);
+    if (CrashesUpstreams || below(D.Rng, 40) == 0)
+      return crashReply(R);
     auto &Held = F.of(R.Target);
     if (below(D.Rng, 8) == 0)
       return failure(Failures[below(D.Rng, std::size(Failures))],
@@ -156,41 +157,42 @@
     bool Has = !R.Pin || std::ranges::find(Held, *R.Pin) != Held.end();
     if (!Has && below(D.Rng, 10) != 0)
       return failure(ResultCode::UpstreamVersionGone, Held);
-    // Now and then an upstream answers from another version than the pin.
+    // Occasionally an upstream answers from a version other than the pin.
     Snapshot Served = Has && R.Pin ? *R.Pin : Held.front();
     return okReply(Served, Held);
   }
 
-  SubReply crashOf(const SubRequest &R) {
+  SubReply crashReply(const SubRequest &R) {
     if (below(D.Rng, 5) == 0)
       return failure(ResultCode::NoHolder);
-    if (Ended.empty())
+    if (CrashedUpstreams.empty())
       SentAtFirstCrash = O.All.size();
-    Ended.insert(R.Target);
+    CrashedUpstreams.insert(R.Target);
     SubReply Reply = failure(ResultCode::ConnectionClosed);
     Reply.Crashed = true;
     return Reply;
   }
 
-  /// From the first crash on one at a time, until it is known.
-  void judgeCrashes(const QuerySpec &Spec) {
+  /// After the first crash a search is sent to one upstream at a time, until it
+  /// is known to crash upstreams.
+  void checkCrashes(const QuerySpec &Spec) {
     std::size_t Most = SentAtFirstCrash + EnoughCrashes - 1;
     if (Spec.Care == Caution::OneAtATime)
       Most =
           std::max(EnoughCrashes, Spec.CrashedBefore + 1) - Spec.CrashedBefore;
     if (Spec.Care == Caution::OneSend)
       Most = 1;
-    CHECK(Ended.size() <= Most);
+    CHECK(CrashedUpstreams.size() <= Most);
     CHECK(O.Answers.front().Records.empty());
   }
 
-  /// Only what reply() feeds answers an open attempt.
-  void feed(QueryRun &Run, const AttemptKey &Key, const SubReply &Reply) {
+  /// Delivers a reply. Only reply() delivers to open attempts.
+  void deliver(QueryRun &Run, const AttemptKey &Key, const SubReply &Reply) {
     O.take(Run.onReply(Key, Reply, Now));
   }
 
   /// After the answer nothing has any effect.
-  void afterwards(QueryRun &Run) {
+  void checkAfterFinish(QueryRun &Run) {
     REQUIRE(O.Answers.size() == 1);
     CHECK(O.Sent.empty());
     O.take(Run.onWake(Now));
@@ -202,42 +204,43 @@
       CHECK(S.Outstanding == 0);
   }
 
-  void judge(const ClassPolicy &Policy) {
+  void checkAnswer(const ClassPolicy &Policy) {
     const QueryAnswer &A = O.Answers.front();
-    std::set<ServiceName> With;
+    std::set<ServiceName> AnsweredServices;
     for (const ServiceRecords &R : A.Records) {
-      CHECK(With.insert(R.Service).second);
+      CHECK(AnsweredServices.insert(R.Service).second);
       CHECK(R.Body == okReply(A.Served).Body);
       CHECK(cameFrom(R, A.Served));
     }
-    bool Given =
+    bool HasAnswer =
         A.Code == ResultCode::Ok || A.Code == ResultCode::PartialCoverage;
-    CHECK(Given == !A.Records.empty());
-    if (Given)
-      CHECK(A.Covered.ServicesAnswered == With.size());
+    CHECK(HasAnswer == !A.Records.empty());
+    if (HasAnswer)
+      CHECK(A.Covered.ServicesAnswered == AnsweredServices.size());
     else
-      CHECK((A.RetryAfter > Duration{0}) == (!Final.contains(A.Code)));
-    CHECK((A.Code == ResultCode::Ok) == (Given && A.Covered.complete()));
+      CHECK((A.RetryAfter > Duration{0}) ==
+            (!WithoutRetryAfter.contains(A.Code)));
+    CHECK((A.Code == ResultCode::Ok) == (HasAnswer && A.Covered.complete()));
     if (Policy.Coverage == CoverageRule::Full)
       CHECK(A.Code != ResultCode::PartialCoverage);
     CHECK(A.Covered.BooksAnswered + A.Covered.Missing.size() ==
           A.Covered.BooksAsked);
     for (const MissingBook &M : A.Covered.Missing) {
-      CHECK_FALSE(With.contains(M.Service));
+      CHECK_FALSE(AnsweredServices.contains(M.Service));
       CHECK(M.Reason != ResultCode::Ok);
       CHECK_FALSE(M.Text.empty());
     }
     if (provesNotRun(A.Code)) {
-      CHECK(Fed.empty());
-      CHECK(Ended.empty());
+      CHECK(Delivered.empty());
+      CHECK(CrashedUpstreams.empty());
     }
   }
 
-  /// A used body was really sent by that upstream for this run and service.
+  /// True if that upstream sent the body for this run and service.
   bool cameFrom(const ServiceRecords &R, const Snapshot &Served) {
     return std::ranges::any_of(O.All, [&](const SendSub &S) {
       return S.Request.Service == R.Service && S.Request.Target == R.From &&
-             Fed[S.Key].contains(Served);
+             Delivered[S.Key].contains(Served);
     });
   }
 
@@ -247,16 +250,16 @@
   Instant Now;
   Instant Deadline;
   Owner O;
-  std::vector<AttemptKey> Past;
-  std::map<AttemptKey, std::set<Snapshot>> Fed;
-  bool Deadly = false; ///< Each upstream ends that begins it.
-  std::set<UpstreamId> Ended;
+  std::vector<AttemptKey> ClosedKeys;
+  std::map<AttemptKey, std::set<Snapshot>> Delivered;
+  bool CrashesUpstreams = false; ///< Every upstream that runs it crashes.
+  std::set<UpstreamId> CrashedUpstreams;
   std::size_t SentAtFirstCrash = 0;
 };
 
 } // namespace
 
-TEST_CASE("a search keeps its promises in any order of events") {
+TEST_CASE("a search keeps its invariants for any order of events") {
   std::vector<ConfigPtr> Configs = {makeConfig({1, 1}), makeConfig({3, 3}),
                                     makeConfig({6, 2}), makeConfig({4, 5})};
   std::map<ResultCode, unsigned> Codes;
@@ -279,7 +282,7 @@
       Seen.Restarts += C.Restarts;
     }
   }
-  // The histories reach every ending and every kind of extra request.
+  // The histories reach every result code and every kind of extra request.
   for (ResultCode Code :
        {ResultCode::Ok, ResultCode::PartialCoverage,
         ResultCode::CoverageRefused, ResultCode::DeadlineExceeded,
--- a/tests/correctness/RecentRequestsAreExplained.cpp
+++ b/tests/correctness/RecentRequestsAreExplained.cpp
@@ -1,10 +1,10 @@
-// The trace of a request says which upstreams were asked and why, and what was
-// missing; the ring's memory stays within its bound.
+// The trace of a request records the selected upstreams, the reasons and the
+// missing services; the memory of the ring stays within its bound.
 #include "correctness/QueryOwner.h"
 
 using namespace shallot;
 
-TEST_CASE("a hedge and a missing service are explained") {
+TEST_CASE("a trace records a hedge and a missing service") {
   ConfigPtr C = makeConfig({2, 2});
   Daemon D(4);
   D.teach(*C, {{41, 7}}, at(-10));
@@ -29,7 +29,7 @@
   CHECK(Json->find(R"("pin":"41.7")") != std::string::npos);
 }
 
-TEST_CASE("the ring forgets the oldest and keeps its bounds") {
+TEST_CASE("the ring evicts the oldest trace and stays within its bounds") {
   TraceRing Ring({.Requests = 10, .EventsPerRequest = 5, .Bytes = 4096});
   for (int I = 0; I < 100; ++I) {
     RequestId Id(fmt::format("r{}", I));
--- a/tests/correctness/SnapshotsNeverMix.cpp
+++ b/tests/correctness/SnapshotsNeverMix.cpp
@@ -1,5 +1,5 @@
-// One answer is of one snapshot: how the pin is chosen, and what happens when
-// it is refused, ignored, unknown at first or gone.
+// All records of an answer come from one snapshot. Covers the choice of the pin
+// and pins that are refused, ignored, initially unknown or no longer held.
 #include "correctness/QueryOwner.h"
 
 using namespace shallot;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the pin is the newest that all services can serve from two") {
+TEST_CASE("the pin is the newest snapshot with two upstreams per service") {
   Search S;
   S.D.teach(*S.C, {Old}, at(-10));
   for (const char *Id : {"s0-u0", "s0-u1", "s1-u0", "s1-u1", "s2-u0"})
@@ -45,7 +45,7 @@
   CHECK(*Choice == SnapshotChoice{New, 1, 1});
 }
 
-TEST_CASE("a refused pin is asked for at another upstream") {
+TEST_CASE("a refused pin is requested from another upstream") {
   Search S;
   S.D.teach(*S.C, {Old}, at(-10));
   S.start();
@@ -57,7 +57,7 @@
   CHECK(Again.Request.Target != First);
 }
 
-TEST_CASE("a reply of another snapshot than the pin is not used") {
+TEST_CASE("a reply from a snapshot other than the pin is not used") {
   Search S;
   S.D.teach(*S.C, {Old}, at(-10));
   S.start();
@@ -70,7 +70,7 @@
   CHECK(S.O.Answers[0].Records[0].Body == okReply(Old).Body);
 }
 
-TEST_CASE("with nothing known, unpinned replies are settled on one pin") {
+TEST_CASE("without known snapshots, the pin is chosen from the first replies") {
   Search S;
   S.start();
   CHECK_FALSE(S.O.All.front().Request.Pin);
@@ -85,7 +85,7 @@
   CHECK(S.O.Answers[0].Served == Old);
 }
 
-TEST_CASE("a pin that is gone restarts the query once on the newer one") {
+TEST_CASE("a pin that is no longer held restarts the query on a newer one") {
   Search S;
   S.D.teach(*S.C, {Old}, at(-10));
   S.start();
@@ -103,7 +103,7 @@
   CHECK(S.O.Answers[0].Cost.Restarts == 3);
 }
 
-TEST_CASE("without time for a restart the service is missing, by book") {
+TEST_CASE("without time for a restart the books of the service are missing") {
   Search S;
   S.D.teach(*S.C, {Old}, at(-10));
   S.start();
--- a/tests/error/HostileBytesAreRefused.cpp
+++ b/tests/error/HostileBytesAreRefused.cpp
@@ -1,5 +1,5 @@
-// Bytes from outside are refused with an error and nothing worse: deep nesting,
-// oversize bodies, and a seeded fuzzer that damages good documents.
+// Hostile input is rejected with an error and does no other harm: deep nesting,
+// oversized bodies, and valid documents damaged by a fuzzer with a fixed seed.
 #include "ConfigFixture.h"
 
 using namespace shallot;
@@ -31,20 +31,20 @@
 
 } // namespace
 
-TEST_CASE("nesting and size are bounded before anything is built") {
+TEST_CASE("nesting and size are checked before parsing") {
   std::string Deep(100000, '[');
   CHECK(bad([&] { return decodeDocuments(Deep); }).Code ==
         ResultCode::MalformedJson);
   std::string Large(MaxObjectBytes + 1, ' ');
   CHECK(bad([&] { return decodeHead(Large); }).Code ==
         ResultCode::BodyTooLarge);
-  // Brackets in a string nest nothing.
+  // Brackets in a string do not count as nesting.
   std::string Doc = R"({"kind":"service","tenant":"t","group":"g","name":"s",)"
                     R"("books":["[[[[[[[[[[[[[[[[[[[[\"{{{"]})";
   CHECK(good([&] { return decodeDocuments(Doc); }).size() == 1);
 }
 
-TEST_CASE("a damaged document is refused or means something that checks") {
+TEST_CASE("a damaged document is rejected or decodes to a valid value") {
   ConfigPtr C = configOf(draftOfSize(1, 1));
   std::string GroupText = encode(C->groups()[0]);
   std::string HeadText = encode(C->head());
@@ -55,7 +55,7 @@
     auto G = attempt([&] { return decodeGroup(damaged(GroupText, Rng)); });
     auto H = attempt([&] { return decodeHead(damaged(HeadText, Rng)); });
     auto P = attempt([&] { return decodePreset(damaged(PresetText, Rng)); });
-    // What is taken in can be written and read again: nothing half-checked.
+    // An accepted value round-trips, so it was validated completely.
     if (G)
       CHECK(good([&] { return decodeGroup(encode(*G)); }) == *G);
     if (H)
--- a/tests/failure/CoverageIsRefusedAtOnce.cpp
+++ b/tests/failure/CoverageIsRefusedAtOnce.cpp
@@ -1,12 +1,12 @@
-// The caller's class needs full coverage. Every upstream of one service sheds.
-// The caller sees CoverageRefused with a Retry-After as soon as the last of
-// them has refused, long before the deadline: waiting could not have changed
-// the answer, and the other services' work is cancelled.
+// A class needs full coverage and every upstream of one service sheds load.
+// Waiting cannot change the answer, so the caller must get CoverageRefused with
+// a Retry-After as soon as the last upstream has refused, long before the
+// deadline, and the requests to the other services are cancelled.
 #include "correctness/QueryOwner.h"
 
 using namespace shallot;
 
-TEST_CASE("full coverage that became impossible is refused at once") {
+TEST_CASE("full coverage is refused as soon as it is impossible") {
   ConfigPtr C = makeConfig();
   Daemon D(3);
   D.teach(*C, {{41, 7}}, at(-10));
@@ -32,7 +32,7 @@
   CHECK(A.Cost.Retries == 2);
 }
 
-TEST_CASE("with nobody to ask, nothing is sent and that is said") {
+TEST_CASE("a service without a usable upstream fails before any send") {
   ConfigPtr C = makeConfig({2, 1});
   Daemon D(3);
   D.teach(*C, {{41, 7}}, at(-10));
@@ -47,7 +47,7 @@
   CHECK(O.All.empty());
 }
 
-TEST_CASE("partial coverage is given at its time and names what is missing") {
+TEST_CASE("a partial answer comes after PartialAfter and lists missing books") {
   ConfigPtr C = makeConfig();
   Daemon D(3);
   D.teach(*C, {{41, 7}}, at(-10));
--- a/tests/failure/CrashingSearchesAreSentOnce.cpp
+++ b/tests/failure/CrashingSearchesAreSentOnce.cpp
@@ -1,9 +1,8 @@
-// One caller's search ends every upstream that begins it, and the caller gets
-// an error at once. What happens: each service's first upstream ends with the
-// search; it was sent on to the next one of each service, and hedged, until all
-// had ended. Why one at a time is enough: a search that only ran beside the
-// guilty one needs one answer for all of its services to be asked again, and
-// the guilty one ends one upstream for each send.
+// Guards against a search that crashes every upstream that runs it: retries and
+// hedges sent it to the next upstream of each service until all had crashed.
+// Sending it to one upstream at a time is sufficient: an innocent search needs
+// only one successful attempt before all its services are asked again, and a
+// crashing one costs one upstream per send. The caller gets an error at once.
 #include "correctness/QueryOwner.h"
 
 using namespace shallot;
@@ -33,7 +32,7 @@
     O.take(Run->start(at(0)));
   }
 
-  /// Answers what was sent first.
+  /// Answers the oldest open request.
   void reply(const SubReply &R, double Ms) {
     SendSub S = O.Sent.front();
     O.Sent.pop_front();
@@ -52,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("a search that ends upstreams ends one of each service at most") {
+TEST_CASE("a crashing search crashes at most one upstream of each service") {
   Search S;
   CHECK(S.O.All.size() == 3);
   for (int Service = 0; Service < 3; ++Service) {
@@ -65,10 +64,10 @@
   CHECK(S.answer().Took < Millis(10));
 }
 
-TEST_CASE("one upstream that crashes does not end a search") {
+TEST_CASE("a search survives the crash of one upstream") {
   Search S;
   S.reply(crash(), 5);
-  CHECK(S.O.All.size() == 3); // Its service is not asked again yet.
+  CHECK(S.O.All.size() == 3); // Its service is not retried yet.
   S.reply(okReply({41, 7}), 6);
   CHECK(S.O.All.size() == 4);
   S.reply(okReply({41, 7}), 7);
@@ -76,7 +75,7 @@
   CHECK(S.answer().Code == ResultCode::Ok);
 }
 
-TEST_CASE("while it is suspected it is not hedged") {
+TEST_CASE("a suspected search is not hedged") {
   Search S;
   S.reply(crash(), 1);
   for (int Ms = 10; Ms < 900; Ms += 10)
@@ -84,7 +83,7 @@
   CHECK(S.O.All.size() == 3);
 }
 
-TEST_CASE("a suspect of earlier attempts is at one upstream at a time") {
+TEST_CASE("a search suspected before is sent to one upstream at a time") {
   Search S(Caution::OneAtATime, 1);
   CHECK(S.O.All.size() == 1);
   S.reply(crash(), 5);
@@ -94,7 +93,7 @@
   CHECK(S.answer().Code == ResultCode::ReplicasCrashed);
 }
 
-TEST_CASE("a suspect that is answered once is asked of all others at once") {
+TEST_CASE("a suspected search that succeeds once is sent to all services") {
   Search S(Caution::OneAtATime, 2);
   S.reply(okReply({41, 7}), 5);
   CHECK(S.O.All.size() == 3);
@@ -103,25 +102,25 @@
   CHECK(S.answer().Code == ResultCode::Ok);
 }
 
-TEST_CASE("a trial is one send") {
+TEST_CASE("a trial sends one request") {
   Search S(Caution::OneSend, 3);
-  SUBCASE("that crashes its upstream") {
+  SUBCASE("which crashes its upstream") {
     S.reply(crash(), 5);
     CHECK(S.answer().Code == ResultCode::RequestCrashes);
     CHECK(S.O.All.size() == 1);
   }
-  SUBCASE("that the upstream refused") {
+  SUBCASE("which the upstream refuses") {
     S.reply(failure(ResultCode::UpstreamShed), 5);
     CHECK(S.answer().Code == ResultCode::NoReplica);
     CHECK(provesNotRun(S.answer().Code));
     CHECK(S.answer().Cost.reachedUpstreams());
     CHECK(S.O.All.size() == 1);
   }
-  SUBCASE("that ends well: then it is asked of all") {
+  SUBCASE("which succeeds, so that all services are asked") {
     S.reply(okReply({41, 7}), 5);
     CHECK(S.O.All.size() == 3);
   }
-  SUBCASE("which no upstream saw is made at another") {
+  SUBCASE("which no upstream received, so that another is tried") {
     S.reply(failure(ResultCode::NoHolder), 5);
     S.reply(failure(ResultCode::ConnectFailed), 5);
     CHECK(S.O.All.size() == 3);
--- a/tests/failure/SlotsThatRestCostNoRetry.cpp
+++ b/tests/failure/SlotsThatRestCostNoRetry.cpp
@@ -1,13 +1,13 @@
-// The caller gets a partial answer although nothing is wrong. A daemon leaves,
-// its slots go to others and rest there for some seconds; every daemon that is
-// asked for one of those upstreams says NoHolder. No upstream has seen
-// anything, so trying another costs them nothing: it must not wait for the
-// retry budget, which a few queries would use up.
+// Guards against partial answers after a daemon has left: its slots pass to
+// other daemons, which must not use them for some seconds, and every request
+// for one of those upstreams fails with NoHolder. As no upstream received the
+// request, trying another one adds no load and must not draw on the retry
+// budget, which a few queries would exhaust.
 #include "correctness/QueryOwner.h"
 
 using namespace shallot;
 
-TEST_CASE("another upstream is asked when no daemon had a slot, for free") {
+TEST_CASE("NoHolder is retried at another upstream without the budget") {
   ConfigPtr C = makeConfig();
   Daemon D(3);
   D.teach(*C, {{41, 7}}, at(-10));
@@ -29,8 +29,7 @@
   CHECK(O.Answers[0].Cost.Reasks == 3);
 }
 
-TEST_CASE(
-    "when every upstream of a service is without a holder it is missing") {
+TEST_CASE("a service without a slot holder for any upstream is missing") {
   ConfigPtr C = makeConfig();
   Daemon D(3);
   D.teach(*C, {{41, 7}}, at(-10));
--- a/tests/performance/BenchQuery.cpp
+++ b/tests/performance/BenchQuery.cpp
@@ -1,6 +1,7 @@
-// Decisions of a search in virtual time: every step of the strategy against the
-// baseline in the same run. Prints one "name value unit bound" line a figure;
-// "-" is no bound. QueryTailIsBounded.cpp judges the same runs.
+// Benchmark of the search strategy in virtual time: every step of the strategy
+// against the baseline in the same run. Prints one "name value unit bound" line
+// per figure, where "-" means no bound. QueryTailIsBounded.cpp checks the same
+// runs.
 #include "performance/QueryWorld.h"
 
 #include <cstdio>
--- a/tests/performance/QueryTailIsBounded.cpp
+++ b/tests/performance/QueryTailIsBounded.cpp
@@ -1,5 +1,5 @@
-// The figures of the strategy in virtual time stay within bounds, with fixed
-// seeds. bench_query prints the same runs step by step.
+// Bounds on tail latency, extra load and coverage of the strategy, in virtual
+// time with fixed seeds. bench_query prints the same runs for each step.
 #include "performance/QueryWorld.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("one straggler in 100 barely shows at p99") {
+TEST_CASE("one straggler in 100 has little effect on p99") {
   WorldOptions O;
   O.Parts = StrategyParts::of(Strategy::Baseline);
   WorldFigures Baseline = figures(O);
@@ -23,13 +23,13 @@
   CHECK(Full.Queries > 4000);
   CHECK(Full.P99 < Baseline.P99 / 6);
   CHECK(Full.P50 < Baseline.P50);
-  // The aim is 1.3; 1.37 to 1.41 was measured (docs/design/tail-latency.md).
+  // The target is 1.3; measured are 1.37 to 1.41 (docs/design/tail-latency.md).
   CHECK(Full.P99 < 1.45 * Smooth.P99);
   CHECK(Full.ExtraPercent <= 5);
   CHECK(Full.Coverage == 1);
 }
 
-TEST_CASE("one upstream in three frozen is worked round within 2 s") {
+TEST_CASE("p99 recovers within 2 s after one upstream in three freezes") {
   WorldOptions O;
   WorldFigures Before = figures(O);
   O.FreezeAt = Seconds(8);
