--- a/packages/model/Document.cpp
+++ b/packages/model/Document.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// The largest version or generation: what JSON numbers carry exactly.
+/// Limit on versions and generations: JSON numbers are exact up to 2^53.
 constexpr std::uint64_t MaxJsonInteger = 1ULL << 53;
 
-/// Whole milliseconds as a whole number, so that documents stay readable.
+/// Encodes whole milliseconds as an integer, to keep documents readable.
 json msToJson(Duration D) {
   if (D % Millis(1) == Duration(0))
     return toMillis(D);
@@ -76,7 +76,7 @@
     return {};
   return fail(ResultCode::UnknownKind,
               fmt::format("{}: \"kind\" is {}, allowed here is \"{}\"",
-                          F.where(), shownInError(Text), Kind));
+                          F.where(), formatForError(Text), Kind));
 }
 
 Result<Change> changeFrom(const json &Doc) {
@@ -100,7 +100,7 @@
     if (!Hash.is_string())
       return fail(ResultCode::WrongType,
                   fmt::format("head: \"{}\" has {}, allowed are strings", Key,
-                              shownInError(Hash)));
+                              formatForError(Hash)));
     Hashes.emplace(Name, Hash.get<std::string>());
   }
   return Hashes;
--- a/packages/model/DocumentFields.cpp
+++ b/packages/model/DocumentFields.cpp
@@ -25,10 +25,10 @@
   return fail(ResultCode::OutOfRange,
               fmt::format("{}: \"coverage\" is {}, allowed are \"full\" and "
                           "\"partial\"",
-                          F.where(), shownInError(Text)));
+                          F.where(), formatForError(Text)));
 }
 
-/// Fields that are left out keep the defaults of ClassPolicy.
+/// Omitted fields keep the defaults of ClassPolicy.
 Result<ClassPolicy> policyFrom(const json &Doc, const std::string &Where) {
   BOOST_LEAF_AUTO(F, JsonFields::open(Doc, Where));
   ClassPolicy P;
@@ -85,7 +85,7 @@
   return P;
 }
 
-/// The fields of an upstream, which the caller finishes.
+/// Reads the fields of an upstream; the caller calls finish().
 Result<UpstreamFields> upstreamFrom(JsonFields &F) {
   UpstreamFields U;
   BOOST_LEAF_CHECK(readName(F, "name", U.Id));
@@ -110,7 +110,7 @@
     if (!Book.is_string())
       return fail(ResultCode::WrongType,
                   fmt::format("{}: \"books\" has {}, allowed are strings",
-                              F.where(), shownInError(Book)));
+                              F.where(), formatForError(Book)));
     Books.push_back(Book.get<std::string>());
   }
   return Books;
--- a/packages/model/Draft.cpp
+++ b/packages/model/Draft.cpp
@@ -13,11 +13,11 @@
 using GroupKey = std::pair<Tenant, GroupName>;
 using ServicesByName = std::map<ServiceName, ServiceFields>;
 
-/// A draft opened up, so that a file of thousands of documents is put in with
-/// one look-up each.
-class Editor {
+/// A draft with its services indexed by name, so that each of thousands of
+/// documents is applied with one look-up.
+class DraftEditor {
 public:
-  explicit Editor(Draft D) : D(std::move(D)) {
+  explicit DraftEditor(Draft D) : D(std::move(D)) {
     for (const Group &G : this->D.Groups) {
       ServicesByName &Services = Groups[{G->Owner, G->Name}];
       for (const Service &S : G->Services)
@@ -35,14 +35,14 @@
   }
 
   Result<void> put(const UpstreamDoc &Doc) {
-    ServiceFields *S = find({Doc.Owner, Doc.InGroup}, Doc.Behind);
+    ServiceFields *S = find({Doc.Owner, Doc.InGroup}, Doc.InService);
     if (!S)
       return fail(ResultCode::DanglingReference,
                   fmt::format("upstream {}: there is no service {}/{}/{}; "
-                              "create the service first or put it in the same "
-                              "file",
+                              "create the service first or add it to the "
+                              "same file",
                               Doc.Fields.Id.str(), Doc.Owner.str(),
-                              Doc.InGroup.str(), Doc.Behind.str()));
+                              Doc.InGroup.str(), Doc.InService.str()));
     BOOST_LEAF_AUTO(U, Upstream::make(Doc.Fields));
     std::erase_if(S->Upstreams, [&](const Upstream &Old) {
       return Old->Id == Doc.Fields.Id;
@@ -102,19 +102,19 @@
   return "preset/" + Doc.Name.str();
 }
 
-Result<void> checkOnceEach(const std::vector<OperatorDoc> &Docs) {
+Result<void> checkNoDuplicates(const std::vector<OperatorDoc> &Docs) {
   std::set<std::string> Seen;
   for (const OperatorDoc &Doc : Docs) {
     std::string Path = objectPath(Doc);
     if (!Seen.insert(Path).second)
       return fail(ResultCode::AlreadyExists,
-                  fmt::format("{} stands twice in the documents", Path));
+                  fmt::format("{} appears twice in the documents", Path));
   }
   return {};
 }
 
 template <typename Doc>
-Result<void> putAll(Editor &E, const std::vector<OperatorDoc> &Docs) {
+Result<void> putAll(DraftEditor &E, const std::vector<OperatorDoc> &Docs) {
   for (const OperatorDoc &Any : Docs)
     if (const Doc *D = std::get_if<Doc>(&Any))
       BOOST_LEAF_CHECK(E.put(*D));
@@ -143,7 +143,7 @@
 
 Result<Draft> withoutUpstream(const Draft &D, std::string_view Name,
                               std::string_view Path) {
-  Editor E(D);
+  DraftEditor E(D);
   for (const Group &G : D.Groups)
     for (const Service &S : G->Services)
       if (S.find(UpstreamId(std::string(Name)))) {
@@ -155,7 +155,7 @@
 }
 
 Result<Draft> withoutService(const Draft &D, std::string_view Path) {
-  Editor E(D);
+  DraftEditor E(D);
   for (const Group &G : D.Groups)
     for (const Service &S : G->Services) {
       if (servicePath(G->Owner, G->Name, S->Name) != Path)
@@ -182,17 +182,17 @@
   return {C.head()->PresetInForce, C.groups(), C.presets()};
 }
 
-Result<Draft> applied(Draft D, const std::vector<OperatorDoc> &Docs) {
-  BOOST_LEAF_CHECK(checkOnceEach(Docs));
-  Editor E(std::move(D));
-  // Services first: an upstream may come before its service in the file.
+Result<Draft> applyDocuments(Draft D, const std::vector<OperatorDoc> &Docs) {
+  BOOST_LEAF_CHECK(checkNoDuplicates(Docs));
+  DraftEditor E(std::move(D));
+  // Services first, because an upstream may precede its service in the file.
   BOOST_LEAF_CHECK(putAll<ServiceDoc>(E, Docs));
   BOOST_LEAF_CHECK(putAll<UpstreamDoc>(E, Docs));
   BOOST_LEAF_CHECK(putAll<PresetFields>(E, Docs));
   return std::move(E).finish();
 }
 
-Result<Draft> removed(Draft D, std::string_view ObjectPath) {
+Result<Draft> removeObject(Draft D, std::string_view ObjectPath) {
   auto Slash = ObjectPath.find('/');
   std::string_view Kind = ObjectPath.substr(0, Slash);
   std::string_view Name = Slash == std::string_view::npos
@@ -205,7 +205,7 @@
   if (Kind == "service")
     return withoutService(D, ObjectPath);
   return fail(ResultCode::UnknownKind,
-              fmt::format("'{}' is not an object; allowed are "
+              fmt::format("'{}' is not an object path; allowed are "
                           "service/TENANT/GROUP/SERVICE, upstream/UPSTREAM "
                           "and preset/PRESET",
                           ObjectPath));
--- a/packages/model/OperatorDocument.cpp
+++ b/packages/model/OperatorDocument.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Documents in one file; more is a mistake, not an operator's wish.
+/// Limit on documents in one file; a larger number is a mistake.
 constexpr std::size_t MaxDocuments = 50000;
 Result<OperatorDoc> serviceDocFrom(JsonFields &F) {
   ServiceDoc Doc;
@@ -30,14 +30,15 @@
   UpstreamDoc Doc;
   BOOST_LEAF_CHECK(readName(F, "tenant", Doc.Owner));
   BOOST_LEAF_CHECK(readName(F, "group", Doc.InGroup));
-  BOOST_LEAF_CHECK(readName(F, "service", Doc.Behind));
+  BOOST_LEAF_CHECK(readName(F, "service", Doc.InService));
   BOOST_LEAF_ASSIGN(Doc.Fields, upstreamFrom(F));
   BOOST_LEAF_CHECK(F.finish());
   return OperatorDoc(std::move(Doc));
 }
 
-/// "document 3 (upstream uw-03-a)", so that an error in a long file is found.
-std::string whereOf(const json &Doc, std::size_t Number) {
+/// Returns, for example, "document 3 (upstream uw-03-a)", to locate an error in
+/// a long file.
+std::string locationOf(const json &Doc, std::size_t Number) {
   std::string Where = fmt::format("document {}", Number);
   if (!Doc.is_object())
     return Where;
@@ -46,8 +47,8 @@
   if (Kind == Doc.end() || Name == Doc.end() || !Kind->is_string() ||
       !Name->is_string())
     return Where;
-  return fmt::format("{} ({} {})", Where, shownInError(*Kind),
-                     shownInError(*Name));
+  return fmt::format("{} ({} {})", Where, formatForError(*Kind),
+                     formatForError(*Name));
 }
 
 Result<OperatorDoc> presetDocFrom(JsonFields &F) {
@@ -65,11 +66,11 @@
   return fail(ResultCode::UnknownKind,
               fmt::format("{}: \"kind\" is {}, allowed are \"service\", "
                           "\"upstream\" and \"preset\"",
-                          F.where(), shownInError(Kind)));
+                          F.where(), formatForError(Kind)));
 }
 
 Result<OperatorDoc> documentFrom(const json &Doc, std::size_t Number) {
-  BOOST_LEAF_AUTO(F, JsonFields::open(Doc, whereOf(Doc, Number)));
+  BOOST_LEAF_AUTO(F, JsonFields::open(Doc, locationOf(Doc, Number)));
   BOOST_LEAF_AUTO(Kind, F.string("kind"));
   return documentOfKind(Kind, F);
 }
--- a/packages/query/SnapshotChooser.cpp
+++ b/packages/query/SnapshotChooser.cpp
@@ -6,10 +6,10 @@
 namespace shallot {
 namespace {
 
-/// One pair while the services are gone through.
+/// Counters for one pair during the iteration over services.
 struct Tally {
   SnapshotChoice Choice;
-  std::size_t LastService = 0; ///< Number of the last service counted, from 1.
+  std::size_t LastService = 0; ///< Last service counted, from 1; 0: none.
   unsigned Holders = 0;        ///< Upstreams of that service.
 };
 
@@ -44,7 +44,7 @@
   for (const Service *Svc : Targets) {
     ++Number;
     for (const Upstream &U : (*Svc)->Upstreams)
-      if (Table.open(U, Now))
+      if (Table.acceptsWork(U, Now))
         for (const Snapshot &S : Table.servable(U->Id))
           countHolder(tallyOf(Tallies, S), Number);
   }
