--- a/packages/forward/ForwardAnswer.cpp
+++ b/packages/forward/ForwardAnswer.cpp
@@ -70,14 +70,15 @@
     return Out;
   Answered = true;
   // What may run only once is left to run: half of it is worse than all.
-  DropAt =
-      Request.Matched->Kind == Repetition::Idempotent ? Now + LingerTime : End;
+  DropAt = Request.Matched->Kind == RetrySemantics::Idempotent
+               ? Now + LingerTime
+               : End;
   return Out;
 }
 
 /// An answer of \p Count parts has the least share of them.
 bool ForwardRun::suffices(std::size_t Count) const {
-  double Least = Fan ? Fan->LeastShare : 1;
+  double Least = Fan ? Fan->MinCoverage : 1;
   return static_cast<double>(Count) / static_cast<double>(Parts.size()) >=
          Least;
 }
@@ -123,7 +124,7 @@
     Bodies.push_back(P.Reply.Body);
   }
   A.Missing = Parts.size() - Story.PartsIn;
-  A.Records = greatestRecords(Bodies, Fan->MostRecords);
+  A.Records = greatestRecords(Bodies, Fan->MaxRecords);
   finish(Out, std::move(A), Now);
 }
 
@@ -148,7 +149,7 @@
     finish(Out, OwnAnswer{ResultCode::UpstreamShed, NoReplicaRetry, Why}, Now);
   else if (Request.Care == Caution::OneSend && Story.Crashed > 0)
     finish(Out, OwnAnswer{ResultCode::RequestCrashes, {}, Why}, Now);
-  else if (Request.Matched->Kind == Repetition::AtMostOnce)
+  else if (Request.Matched->Kind == RetrySemantics::AtMostOnce)
     finish(Out, OwnAnswer{ResultCode::OutcomeUnknown, {}, Why}, Now);
   else if (crashesEnough())
     finish(Out, OwnAnswer{ResultCode::ReplicasCrashed, {}, Why}, Now);
@@ -161,8 +162,9 @@
 void ForwardRun::finish(RunOutput &Out, ForwardAnswer Answer, Instant Now) {
   Answered = true;
   Out.Answer = std::move(Answer);
-  DropAt =
-      Request.Matched->Kind == Repetition::Idempotent ? Now + LingerTime : End;
+  DropAt = Request.Matched->Kind == RetrySemantics::Idempotent
+               ? Now + LingerTime
+               : End;
 }
 
 void ForwardRun::dropOpen(RunOutput &Out, Instant Now) {
--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -121,7 +121,7 @@
   C.Service = &serviceOf(P);
   C.Work = work(S);
   C.Regions = Where;
-  C.WithinShare = Request.Matched->Kind == Repetition::AtMostOnce;
+  C.WithinShare = Request.Matched->Kind == RetrySemantics::AtMostOnce;
   std::vector<ReplicaPtr> Tried;
   for (const Sent &X : Sends)
     if (X.Part == Index)
@@ -195,7 +195,7 @@
   X.Part = Index;
   X.To = To;
   X.Started = Now;
-  if (Request.Matched->Kind == Repetition::Idempotent)
+  if (Request.Matched->Kind == RetrySemantics::Idempotent)
     X.HedgeAt = hedgeAt(S, P, To, Now);
   Out.Start.push_back({static_cast<unsigned>(Sends.size()), To,
                        std::max(Duration(0), End - Now)});
@@ -230,10 +230,10 @@
   Part &P = Parts[Index];
   if (P.In || P.Open > 0 || P.GivenUp)
     return;
-  bool Allowed =
-      P.MayHaveRun < Request.Matched->MaxAttempts &&
-      P.Sends < Request.Matched->MaxAttempts + MostRejections &&
-      (Request.Matched->Kind == Repetition::Idempotent || P.MayHaveRun == 0);
+  bool Allowed = P.MayHaveRun < Request.Matched->MaxAttempts &&
+                 P.Sends < Request.Matched->MaxAttempts + MostRejections &&
+                 (Request.Matched->Kind == RetrySemantics::Idempotent ||
+                  P.MayHaveRun == 0);
   // A send that never left reached no replica.
   bool Free = Last == SendEnd::NotSent;
   if (!Allowed || (!Free && !spend(S, P, false, Now))) {
--- a/packages/forward/Route.cpp
+++ b/packages/forward/Route.cpp
@@ -42,7 +42,7 @@
     std::set<ServiceName> Distinct(Fan->Shards.begin(), Fan->Shards.end());
     if (Distinct.size() != Fan->Shards.size())
       return Bad("a shard is named twice");
-    if (R.Kind != Repetition::Idempotent)
+    if (R.Kind != RetrySemantics::Idempotent)
       return Bad("a fan-out must be idempotent");
   }
   return {};
--- a/packages/forward/Route.h
+++ b/packages/forward/Route.h
@@ -27,7 +27,7 @@
 namespace shallot {
 
 /// What may be done again without harm.
-enum class Repetition : std::uint8_t {
+enum class RetrySemantics : std::uint8_t {
   Idempotent, ///< May run more than once.
   AtMostOnce, ///< Is sent again only when it is proven not to have run.
 };
@@ -46,8 +46,8 @@
 /// Sent to every shard; the greatest records of the answers are merged.
 struct ShardFanOut {
   std::vector<ServiceName> Shards;
-  std::size_t MostRecords = 0; ///< Records in a merged answer.
-  double LeastShare = 1;       ///< Of the shards, in a success.
+  std::size_t MaxRecords = 0; ///< Records in a merged answer.
+  double MinCoverage = 1;     ///< Of the shards, in a success.
 
   friend bool operator==(const ShardFanOut &, const ShardFanOut &) = default;
 };
@@ -58,7 +58,7 @@
   std::string Name;
   std::string Host;
   std::string PathPrefix; ///< Begins and ends with a slash.
-  Repetition Kind = Repetition::AtMostOnce;
+  RetrySemantics Kind = RetrySemantics::AtMostOnce;
   Duration Timeout{};       ///< The longest that a caller is kept waiting.
   Duration Objective{};     ///< Within it an answer is worth most.
   unsigned Priority = 0;    ///< 0 is the most urgent.
--- a/packages/front/RequestHandler.cpp
+++ b/packages/front/RequestHandler.cpp
@@ -105,7 +105,7 @@
   U.ToHead = R.Method == "HEAD";
   U.EchoName = Names.RequestId;
   U.EchoValue = J->Name.Id;
-  bool Once = J->Run.request().Matched->Kind == Repetition::AtMostOnce;
+  bool Once = J->Run.request().Matched->Kind == RetrySemantics::AtMostOnce;
   bool Far = S.To->distance() == Distance::OtherRegion;
   U.MostKept =
       (Far ? FarIdle : NearIdle).Most + S.To->allowance().extra(Timers.now());
--- a/tests/ForwardFixture.h
+++ b/tests/ForwardFixture.h
@@ -26,7 +26,7 @@
   }
 
   Route route(RouteTarget Target,
-              Repetition Kind = Repetition::Idempotent) const {
+              RetrySemantics Kind = RetrySemantics::Idempotent) const {
     Route R;
     R.Name = "r";
     R.Host = "a.example";
--- a/tests/ForwardWorld.cpp
+++ b/tests/ForwardWorld.cpp
@@ -18,8 +18,8 @@
     Fan.Shards.push_back(Name);
     Services.push_back({Name, Shape.MaxConnections});
   }
-  Fan.MostRecords = 5;
-  Fan.LeastShare = Shape.LeastShare;
+  Fan.MaxRecords = 5;
+  Fan.MinCoverage = Shape.MinCoverage;
   Route R;
   R.Name = "search";
   R.Host = "search.example";
--- a/tests/ForwardWorld.h
+++ b/tests/ForwardWorld.h
@@ -32,10 +32,10 @@
   double PauseEveryMs = 3600; ///< 0: none.
   double ObjectiveMs = 120;
   double DeadlineMs = 800;
-  double LeastShare = 0.89;
+  double MinCoverage = 0.89;
   double FarMs = 8; ///< One way between zones.
   unsigned MaxAttempts = 2;
-  Repetition Kind = Repetition::Idempotent;
+  RetrySemantics Kind = RetrySemantics::Idempotent;
   bool Admission = true; ///< Requests start only while replicas can take them.
   unsigned CallerTries = 2; ///< A refused caller comes back, when it was told.
   RetryAllowance Retries{0.2, 52, Seconds(10)};
--- a/tests/FrontFixture.cpp
+++ b/tests/FrontFixture.cpp
@@ -56,7 +56,7 @@
   return S;
 }
 
-Json FrontFixture::config(int Version, double LeastShare) const {
+Json FrontFixture::config(int Version, double MinCoverage) const {
   Json Search{{"name", "search"},
               {"host", "a.example"},
               {"path_prefix", "/x/"},
@@ -67,7 +67,7 @@
               {"fan_out_services", {"s1", "s2"}},
               {"max_attempts", 2},
               {"top_k", 3},
-              {"min_shard_share", LeastShare}};
+              {"min_shard_share", MinCoverage}};
   Json Action{
       {"name", "pay"},    {"host", "a.example"}, {"path_prefix", "/p/"},
       {"kind", "unsafe"}, {"timeout_ms", 800},   {"target_latency_ms", 300},
--- a/tests/FrontFixture.h
+++ b/tests/FrontFixture.h
@@ -27,7 +27,7 @@
                 const std::string &Method = "GET", std::string Body = {});
   HttpReply ask(const Endpoint &To, const std::string &Path);
   /// The configuration with a search over s1 and s2 and an action on p.
-  nlohmann::json config(int Version, double LeastShare = 0.5) const;
+  nlohmann::json config(int Version, double MinCoverage = 0.5) const;
 
   FrontSettings Set;
   standins::KindService Store;
--- a/tests/correctness/WireObjectsAreRead.cpp
+++ b/tests/correctness/WireObjectsAreRead.cpp
@@ -49,13 +49,13 @@
   CHECK(C->version() == 7);
   const Route *Sweep = C->match("a.example", "/x/1");
   REQUIRE(Sweep);
-  CHECK(Sweep->Kind == Repetition::Idempotent);
+  CHECK(Sweep->Kind == RetrySemantics::Idempotent);
   CHECK(Sweep->Objective == Millis(120));
   REQUIRE(Sweep->fanOut());
   CHECK(Sweep->fanOut()->Shards.size() == 2);
-  CHECK(Sweep->fanOut()->MostRecords == 20);
-  CHECK(Sweep->fanOut()->LeastShare == 0.5);
-  CHECK(C->match("b.example", "/")->Kind == Repetition::AtMostOnce);
+  CHECK(Sweep->fanOut()->MaxRecords == 20);
+  CHECK(Sweep->fanOut()->MinCoverage == 0.5);
+  CHECK(C->match("b.example", "/")->Kind == RetrySemantics::AtMostOnce);
   const Route *Half = C->match("c.example", "/");
   CHECK(std::get<WeightedSplit>(Half->Target).front().Weight == 3);
   CHECK(C->limits().IdleTimeout == Seconds(15));
@@ -65,7 +65,7 @@
 TEST_CASE("a kind that is not known may not be repeated") {
   auto C = readConfig(configDoc());
   REQUIRE(C);
-  CHECK(C->match("c.example", "/")->Kind == Repetition::AtMostOnce);
+  CHECK(C->match("c.example", "/")->Kind == RetrySemantics::AtMostOnce);
 }
 
 TEST_CASE("a configuration with a hole is refused") {
--- a/tests/error/ServingConfigIsChecked.cpp
+++ b/tests/error/ServingConfigIsChecked.cpp
@@ -57,7 +57,7 @@
            "route lanes: a weight is below 0"},
           {[](Route &R) {
              R.Target = ShardFanOut{{ServiceName("s"), ServiceName("s")}, 5, 1};
-             R.Kind = Repetition::Idempotent;
+             R.Kind = RetrySemantics::Idempotent;
            },
            "route lanes: a shard is named twice"},
           {[](Route &R) {
--- a/tests/failure/ActionsAreForwardedOnce.cpp
+++ b/tests/failure/ActionsAreForwardedOnce.cpp
@@ -18,7 +18,7 @@
     add("far", "a", "there");
   }
   ForwardRun action() {
-    return run(route(ServiceName("a"), Repetition::AtMostOnce));
+    return run(route(ServiceName("a"), RetrySemantics::AtMostOnce));
   }
 };
 
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -24,8 +24,8 @@
     ShardFanOut F;
     for (const char *Name : {"a", "b", "c", "d"})
       F.Shards.emplace_back(Name);
-    F.MostRecords = 3;
-    F.LeastShare = 0.5;
+    F.MaxRecords = 3;
+    F.MinCoverage = 0.5;
     return F;
   }
   static SendResult crashed() {
@@ -149,7 +149,7 @@
 
 TEST_CASE_FIXTURE(CrashFixture,
                   "an action that crashed its replica is unknown") {
-  ForwardRun R = run(route(ServiceName("a"), Repetition::AtMostOnce));
+  ForwardRun R = run(route(ServiceName("a"), RetrySemantics::AtMostOnce));
   R.begin(Shared, Now);
   RunOutput Out = reply(R, 0, crashed());
   CHECK(Out.Start.empty());
--- a/tests/failure/HedgesDecideAnswers.cpp
+++ b/tests/failure/HedgesDecideAnswers.cpp
@@ -21,8 +21,8 @@
     ShardFanOut Fan;
     for (const char *S : {"a", "b", "c", "d"})
       Fan.Shards.emplace_back(S);
-    Fan.MostRecords = 3;
-    Fan.LeastShare = Least;
+    Fan.MaxRecords = 3;
+    Fan.MinCoverage = Least;
     return run(route(Fan));
   }
 };
--- a/tests/failure/OverloadIsTurnedAway.cpp
+++ b/tests/failure/OverloadIsTurnedAway.cpp
@@ -25,7 +25,7 @@
   Route search() const {
     ShardFanOut Fan;
     Fan.Shards = {ServiceName("a"), ServiceName("b")};
-    Fan.LeastShare = 0.5;
+    Fan.MinCoverage = 0.5;
     return named("search", 1, Fan);
   }
   Route check() const { return named("check", 0, ServiceName("b")); }
--- a/tests/failure/PartsAreMissing.cpp
+++ b/tests/failure/PartsAreMissing.cpp
@@ -17,12 +17,12 @@
       for (const char *Zone : {"here", "there", "yonder"})
         add(std::string(Shard) + Zone, Shard, Zone);
   }
-  ForwardRun search(double LeastShare = 0.75) {
+  ForwardRun search(double MinCoverage = 0.75) {
     ShardFanOut Fan;
     for (const char *Shard : {"a", "b", "c", "d"})
       Fan.Shards.emplace_back(Shard);
-    Fan.MostRecords = 5;
-    Fan.LeastShare = LeastShare;
+    Fan.MaxRecords = 5;
+    Fan.MinCoverage = MinCoverage;
     return run(route(Fan));
   }
   /// Answers of the first three parts.
--- a/tests/failure/RegionsBindEverySend.cpp
+++ b/tests/failure/RegionsBindEverySend.cpp
@@ -82,7 +82,7 @@
       0.75};
   ForwardRun Enough = run(inRegions(Fan, {Region("here")}));
   CHECK(Enough.begin(Shared, Now).Start.size() == 3);
-  Fan.LeastShare = 1;
+  Fan.MinCoverage = 1;
   ForwardRun Whole = run(inRegions(Fan, {Region("here")}));
   RunOutput Out = Whole.begin(Shared, Now);
   CHECK(Out.Start.empty());
--- a/tests/failure/ReplicasStartAgain.cpp
+++ b/tests/failure/ReplicasStartAgain.cpp
@@ -161,7 +161,7 @@
 TEST_CASE_FIXTURE(RestartFixture,
                   "an action under way across the restart may have run") {
   Replicas.put(entry(Before), Now);
-  ForwardRun Run = run(route(ServiceName("a"), Repetition::AtMostOnce));
+  ForwardRun Run = run(route(ServiceName("a"), RetrySemantics::AtMostOnce));
   RunOutput Out = Run.begin(Shared, Now);
   REQUIRE(Out.Start.size() == 1);
   Replicas.put(entry(After), Now);
--- a/tests/performance/ForwardUnderTrouble.cpp
+++ b/tests/performance/ForwardUnderTrouble.cpp
@@ -92,7 +92,7 @@
   S.PauseEveryMs = 6000;
   S.ObjectiveMs = 200;
   S.DeadlineMs = 1000;
-  S.LeastShare = 0.95;
+  S.MinCoverage = 0.95;
   S.Retries.Constant = 164;
   return S;
 }
