--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -117,7 +117,7 @@
 
 ReplicaPtr ForwardRun::pick(ForwardShared &S, const Part &P, unsigned Index,
                             Instant Now) const {
-  Choice C;
+  ReplicaCriteria C;
   C.Service = &serviceOf(P);
   C.Work = work(S);
   C.Regions = Where;
@@ -211,7 +211,7 @@
 bool ForwardRun::spend(ForwardShared &S, const Part &P, bool Hedge,
                        Instant Now) {
   RetryBudget &B = S.Budgets[P.Service];
-  double Share = S.Replicas.sharing().RetryPart;
+  double Share = S.Replicas.fleetShare().RetryShare;
   bool Deciding = Parts.size() - Story.PartsIn <= SpareParts + DecidingParts;
   bool Scarce =
       S.Pressed || B.freePart(S.Rules.Retries, Share, Now) < ScarceBudget;
--- a/packages/forward/ReplicaRegistry.cpp
+++ b/packages/forward/ReplicaRegistry.cpp
@@ -54,8 +54,8 @@
 } // namespace
 
 std::size_t connectionShare(unsigned MaxConnections, Distance Far,
-                            const Sharing &S) {
-  double Part = S.Elsewhere == 0 ? 1 : NearPart;
+                            const FleetShare &S) {
+  double Part = S.OutsideRegion == 0 ? 1 : NearPart;
   std::size_t Sharers = S.InRegion;
   if (Far == Distance::OtherRegion) {
     Part = (1 - NearPart) * FarOvercommit;
@@ -193,7 +193,7 @@
   return Stays && !S.Ptr->resting() && ZonesKnown && !evacuated(E.Zone);
 }
 
-bool ReplicaRegistry::hasRoom(const Replica &R, const Choice &C,
+bool ReplicaRegistry::hasRoom(const Replica &R, const ReplicaCriteria &C,
                               Instant Now) const {
   unsigned Cap = C.Service->MaxConnections;
   std::size_t Share = connectionShare(Cap, R.distance(), Shared);
@@ -206,7 +206,7 @@
          static_cast<double>(R.openSends()) < Cap * MostPart;
 }
 
-ReplicaPtr ReplicaRegistry::choose(const Choice &C, double Jitter,
+ReplicaPtr ReplicaRegistry::choose(const ReplicaCriteria &C, double Jitter,
                                    Instant Now) {
   auto At = ByService.find(C.Service->Name);
   if (At == ByService.end())
--- a/packages/forward/ReplicaRegistry.h
+++ b/packages/forward/ReplicaRegistry.h
@@ -45,30 +45,30 @@
 using ReplicaPtr = std::shared_ptr<Replica>;
 
 /// Where this daemon runs.
-struct Place {
+struct Location {
   AvailabilityZone Zone;
   Region Reg;
 
-  friend bool operator==(const Place &, const Place &) = default;
+  friend bool operator==(const Location &, const Location &) = default;
 };
 
 /// How many daemons share what replicas take.
-struct Sharing {
+struct FleetShare {
   /// Daemons that open connections to replicas: of this daemon's region, itself
   /// too, and of the others.
   std::size_t InRegion = 1;
-  std::size_t Elsewhere = 0;
+  std::size_t OutsideRegion = 0;
   /// This daemon's part of the constant in the retry allowance.
-  double RetryPart = 1;
+  double RetryShare = 1;
 
-  std::size_t connected() const { return InRegion + Elsewhere; }
-  friend bool operator==(const Sharing &, const Sharing &) = default;
+  std::size_t connected() const { return InRegion + OutsideRegion; }
+  friend bool operator==(const FleetShare &, const FleetShare &) = default;
 };
 
 /// Connections that this daemon may hold to a replica that takes
 /// \p MaxConnections from everyone.
 std::size_t connectionShare(unsigned MaxConnections, Distance Far,
-                            const Sharing &S);
+                            const FleetShare &S);
 
 struct ReplicaRegistryOptions {
   /// How long a vanished replica may stand in for a service that has no other:
@@ -85,7 +85,7 @@
 };
 
 /// What a send is to be chosen for.
-struct Choice {
+struct ReplicaCriteria {
   const ServiceInfo *Service = nullptr;
   Duration Work{};                     ///< What such a request usually takes.
   std::span<const ReplicaPtr> Exclude; ///< Tried before.
@@ -97,7 +97,7 @@
 
 class ReplicaRegistry {
 public:
-  ReplicaRegistry(Place Here, ReplicaRegistryOptions Options)
+  ReplicaRegistry(Location Here, ReplicaRegistryOptions Options)
       : Here(std::move(Here)), Options(Options),
         ZonesKnown(!Options.AwaitEvacuations) {}
 
@@ -115,15 +115,15 @@
   bool evacuated(const AvailabilityZone &Zone) const {
     return Evacuated.contains(Zone);
   }
-  void setSharing(Sharing S) { Shared = S; }
-  const Sharing &sharing() const { return Shared; }
+  void setFleetShare(FleetShare S) { Shared = S; }
+  const FleetShare &fleetShare() const { return Shared; }
   /// Who sends to cold replicas; before the first call nobody.
   void setWarmupSenders(WarmupSenders S) { Senders = std::move(S); }
 
   /// The best replica now, or null: none may be used, or each has as many open
   /// sends as this daemon may have connections to it. \p Jitter in [0, 1)
   /// spreads daemons that see the same.
-  ReplicaPtr choose(const Choice &C, double Jitter, Instant Now);
+  ReplicaPtr choose(const ReplicaCriteria &C, double Jitter, Instant Now);
   /// How long the quickest replica of \p Service in \p Where besides \p Other
   /// would take; Duration::max() when there is none.
   Duration quickestBesides(const ServiceName &Service,
@@ -148,7 +148,7 @@
   };
 
   std::shared_ptr<RttEstimate> rttTo(const ReplicaEntry &E);
-  bool hasRoom(const Replica &R, const Choice &C, Instant Now) const;
+  bool hasRoom(const Replica &R, const ReplicaCriteria &C, Instant Now) const;
   Distance distance(const ReplicaEntry &E) const;
   void place(ReplicaEntry Entry, bool Restarted, Instant Now);
   bool holds(const Slot &S, Instant Now) const;
@@ -160,9 +160,9 @@
   Instant holdEnds(const Slot &S) const;
   void vanish(Slot &S, Instant Now);
 
-  Place Here;
+  Location Here;
   ReplicaRegistryOptions Options;
-  Sharing Shared;
+  FleetShare Shared;
   WarmupSenders Senders;
   std::unordered_map<UpstreamId, Slot> ById;
   std::unordered_map<ServiceName, std::vector<Slot *>> ByService;
--- a/packages/forward/RetryBudget.h
+++ b/packages/forward/RetryBudget.h
@@ -4,7 +4,7 @@
 // of it. In any span of Window, the sends of all daemons beyond the first ones
 // may be a given part of the requests plus a constant. There is no coordinator:
 // every daemon keeps to that part of its own requests and to its part of the
-// constant (Sharing::RetryPart), and the sum then keeps the bound.
+// constant (Sharing::RetryShare), and the sum then keeps the bound.
 //
 // Why a window and not a bucket of tokens: a full bucket pays for a storm that
 // the seconds before it did not earn, and the sum over one window then breaks
--- a/packages/front/EntryAddresses.cpp
+++ b/packages/front/EntryAddresses.cpp
@@ -75,7 +75,8 @@
 
 } // namespace
 
-std::vector<Endpoint> entryAddresses(const FleetView &View, const Place &Caller,
+std::vector<Endpoint> entryAddresses(const FleetView &View,
+                                     const Location &Caller,
                                      const AllowedRegions &Regions) {
   const std::array<Fits, 4> Rings = {
       [&](const Member &M) { return M.Zone == Caller.Zone; },
@@ -89,20 +90,20 @@
   return {};
 }
 
-Sharing sharedByCarriers(const FleetView &View, const HostId &Self,
-                         const Region &Here) {
+FleetShare sharedByCarriers(const FleetView &View, const HostId &Self,
+                            const Region &Here) {
   std::set<const Member *> Carriers = allCarriers(View);
   bool SelfCarries = std::ranges::any_of(
       Carriers, [&](const Member *M) { return M->Id.Host == Self; });
   std::size_t Others = servingDaemons(View, Self) - Carriers.size();
-  Sharing S;
-  S.RetryPart = retryPart(SelfCarries, Carriers.size(), Others);
+  FleetShare S;
+  S.RetryShare = retryPart(SelfCarries, Carriers.size(), Others);
   S.InRegion = 0;
   for (const Member &M : View.Members)
     if (M.Id.Host == Self)
       Carriers.insert(&M);
   for (const Member *M : Carriers)
-    ++(M->Reg == Here ? S.InRegion : S.Elsewhere);
+    ++(M->Reg == Here ? S.InRegion : S.OutsideRegion);
   S.InRegion = std::max<std::size_t>(1, S.InRegion);
   return S;
 }
--- a/packages/front/EntryAddresses.h
+++ b/packages/front/EntryAddresses.h
@@ -31,7 +31,7 @@
 /// A daemon elsewhere sends such requests to replicas in the allowed regions
 /// only, so when these have lost all their daemons a distant one still serves.
 std::vector<Endpoint>
-entryAddresses(const FleetView &View, const Place &Caller,
+entryAddresses(const FleetView &View, const Location &Caller,
                const AllowedRegions &Regions = AllowedRegions::anywhere());
 
 /// Who shares what replicas take, at this moment. Their
@@ -41,8 +41,8 @@
 /// carry) one connection to each replica, and its second request at a time goes
 /// to another region; and of an allowance of 630 second sends in ten seconds
 /// two to each of 295 daemons, most never used.
-Sharing sharedByCarriers(const FleetView &View, const HostId &Self,
-                         const Region &Here);
+FleetShare sharedByCarriers(const FleetView &View, const HostId &Self,
+                            const Region &Here);
 
 /// Who sends to cold replicas: the carriers. Nobody when less than half of the
 /// fleet is seen: this daemon may be cut off from the rest, which goes on
--- a/packages/front/FleetLink.cpp
+++ b/packages/front/FleetLink.cpp
@@ -145,7 +145,7 @@
   OnChanged();
 }
 
-Sharing FleetLink::sharing() const {
+FleetShare FleetLink::sharing() const {
   return sharedByCarriers(view(), Set.Host, Set.Here.Reg);
 }
 
--- a/packages/front/FleetLink.h
+++ b/packages/front/FleetLink.h
@@ -62,7 +62,7 @@
   /// This daemon as it announces itself.
   const Member &self() const { return Members.self(); }
   /// Who shares the replicas' connections and the retry allowance.
-  Sharing sharing() const;
+  FleetShare sharing() const;
   WarmupSenders warmupSenders() const;
   /// This daemon's part of the retry allowance if all daemons had the same.
   double equalRetryPart() const;
--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -73,7 +73,7 @@
         Requests(Loop, Timers, this->Adapter.Headers, Replicas, {Set.Retries},
                  Rng, Meter),
         Suspended(suspendedTime()), Started(Loop.now()),
-        RetryPart(retrySpan(Set), 1), Load(capacityOf(Set)), LoadAt(Started) {}
+        RetryShare(retrySpan(Set), 1), Load(capacityOf(Set)), LoadAt(Started) {}
 
   static ReplicaRegistryOptions bookOptions(const FrontSettings &Set);
   /// Over this time a share of the retry allowance is looked back.
@@ -120,8 +120,8 @@
   std::function<void()> Gone;
   Duration Suspended;
   Instant Started;
-  Sharing Shared; ///< By the fleet as it is now.
-  GrantedShare RetryPart;
+  FleetShare Shared; ///< By the fleet as it is now.
+  GrantedShare RetryShare;
   LoadLevel Load;
   Instant LoadAt;
   Duration BusyBefore{};
@@ -182,11 +182,11 @@
 /// what it used itself before it started, and counts then on no more than
 /// everybody could have.
 void FrontDaemon::Impl::share(Instant Now) {
-  Sharing Usable = Shared;
-  Usable.RetryPart = RetryPart.usable(Now);
+  FleetShare Usable = Shared;
+  Usable.RetryShare = RetryShare.usable(Now);
   if (Now - Started < retrySpan(Set))
-    Usable.RetryPart = std::min(Usable.RetryPart, Fleet->equalRetryPart());
-  Replicas.setSharing(Usable);
+    Usable.RetryShare = std::min(Usable.RetryShare, Fleet->equalRetryPart());
+  Replicas.setFleetShare(Usable);
 }
 
 /// A daemon that has just started may not know yet who else sends.
@@ -199,7 +199,7 @@
   if (!Fleet)
     return;
   Shared = Fleet->sharing();
-  RetryPart.grant(Shared.RetryPart, Loop.now());
+  RetryShare.grant(Shared.RetryShare, Loop.now());
   share(Loop.now());
   shareWarmup(Loop.now());
   if (OnFleet)
--- a/packages/front/FrontDaemon.h
+++ b/packages/front/FrontDaemon.h
@@ -30,7 +30,7 @@
 
 /// What a caller asks the directory.
 struct EntryQuestion {
-  Place Caller;
+  Location Caller;
   std::string Host; ///< That it wants to send requests to.
 
   friend bool operator==(const EntryQuestion &,
--- a/packages/front/FrontSettings.h
+++ b/packages/front/FrontSettings.h
@@ -34,7 +34,7 @@
 
 struct FrontSettings {
   HostId Host;
-  Place Here;
+  Location Here;
   Endpoint Callers;
   Endpoint Readiness;
   Endpoint Directory;
--- a/tests/ForwardFixture.h
+++ b/tests/ForwardFixture.h
@@ -10,7 +10,7 @@
 
 /// Services with replicas near and far, and runs over them.
 struct ForwardFixture {
-  ForwardFixture() { Replicas.setSharing({1, 2, 1.0 / 3}); }
+  ForwardFixture() { Replicas.setFleetShare({1, 2, 1.0 / 3}); }
 
   void add(const std::string &Id, const std::string &Service,
            const std::string &Zone, bool Leaving = false) {
--- a/tests/ForwardWorld.cpp
+++ b/tests/ForwardWorld.cpp
@@ -39,7 +39,7 @@
   return *C;
 }
 
-Place placeOf(unsigned Zone) {
+Location placeOf(unsigned Zone) {
   std::string Name = std::to_string(Zone);
   return {AvailabilityZone("zone-" + Name), Region("region-" + Name)};
 }
@@ -59,7 +59,7 @@
       R->Shard = Shard;
       R->Zone = Zone;
       R->PausePhase = fromMillisF(uniform01(Rng) * S.PauseEveryMs);
-      Place P = placeOf(Zone);
+      Location P = placeOf(Zone);
       Entries.push_back({R->Id,
                          ServiceName("shard-" + std::to_string(Shard)),
                          {"10.0.0.1", 1},
@@ -76,7 +76,7 @@
       One->Zone = Zone;
       One->Shared.Rules.Retries = S.Retries;
       std::size_t Near = S.DaemonsPerZone;
-      One->Replicas.setSharing(
+      One->Replicas.setFleetShare(
           {Near, Near * (S.Zones - 1), 1.0 / double(Near * S.Zones)});
       One->Replicas.replaceAll(Entries, Now);
       One->Admit.install(*Config);
--- a/tests/ForwardWorld.h
+++ b/tests/ForwardWorld.h
@@ -118,7 +118,7 @@
   };
   using JobPtr = std::shared_ptr<Job>;
   struct Daemon {
-    Daemon(Place Here, std::uint64_t Seed)
+    Daemon(Location Here, std::uint64_t Seed)
         : Replicas(std::move(Here), {}),
           Rng(Seed), Shared{Replicas, Budgets, Works, Rng, {}} {}
     unsigned Zone = 0;
--- a/tests/correctness/EntryAddressesForCallers.cpp
+++ b/tests/correctness/EntryAddressesForCallers.cpp
@@ -100,11 +100,11 @@
       add(Zone, "r", 120);
   }
   add("z3", "q", 500);
-  Sharing S = sharedByCarriers(View, HostId("h1"), Region("r"));
+  FleetShare S = sharedByCarriers(View, HostId("h1"), Region("r"));
   // Four fifths of the retries for five carriers, the rest for the 16 others.
-  CHECK(S == Sharing{4, 1, 0.8 / 5});
+  CHECK(S == FleetShare{4, 1, 0.8 / 5});
   HostId Other("h3");
-  CHECK(sharedByCarriers(View, Other, Region("r")).RetryPart == 0.2 / 16);
+  CHECK(sharedByCarriers(View, Other, Region("r")).RetryShare == 0.2 / 16);
   CHECK(equalRetryPart(View, Other) == 1.0 / 21);
   // 63 connections: 9 for each of four carriers, where twenty get one each.
   CHECK(connectionShare(63, Distance::SameZone, S) == 9);
@@ -119,24 +119,24 @@
     add("z1", "r", 120);
   // The one that is leaving still holds its connections.
   CHECK(sharedByCarriers(View, HostId("h3"), Region("r")) ==
-        Sharing{4, 0, 1.0 / 4});
+        FleetShare{4, 0, 1.0 / 4});
   // Whoever asks counts, even if no caller is sent to it.
   add("z1", "r", 500);
   add("z1", "r", 500);
   CHECK(sharedByCarriers(View, HostId("h3"), Region("r")) ==
-        Sharing{4, 0, 0.2 / 3});
+        FleetShare{4, 0, 0.2 / 3});
 }
 
 TEST_CASE_FIXTURE(ViewFixture, "a region without daemons is sent to one where "
                                "its requests may be served") {
   Endpoint Allowed = add("z1", "r1", 250);
   Endpoint Other = add("z2", "r2", 250);
-  Place Caller{AvailabilityZone("z3"), Region("r3")};
+  Location Caller{AvailabilityZone("z3"), Region("r3")};
   auto In = [](const char *R) { return AllowedRegions::only({Region(R)}); };
   CHECK(entryAddresses(View, Caller, In("r1")) == List{Allowed});
   CHECK(entryAddresses(View, Caller, In("r2")) == List{Other});
   // No daemon is left there: any of them sends to allowed replicas only.
   CHECK(entryAddresses(View, Caller, In("r4")) == List{Allowed, Other});
-  Place InThird{AvailabilityZone("z2"), Region("r2")};
+  Location InThird{AvailabilityZone("z2"), Region("r2")};
   CHECK(entryAddresses(View, InThird, In("r1")) == List{Other});
 }
--- a/tests/correctness/RttIsObserved.cpp
+++ b/tests/correctness/RttIsObserved.cpp
@@ -40,7 +40,7 @@
   add("near", "c", "here");
   auto Of = [&](const char *Service) {
     ServiceInfo Info{ServiceName(Service), 100};
-    Choice C;
+    ReplicaCriteria C;
     C.Service = &Info;
     C.Work = Millis(10);
     return Replicas.choose(C, 0, Now);
--- a/tests/correctness/WireObjectsAreRead.cpp
+++ b/tests/correctness/WireObjectsAreRead.cpp
@@ -104,7 +104,7 @@
       wire::readQuestion("name=a.example&region=sv%65aland&zone=hall+1");
   CHECK(Q.Caller.Reg == Region("svealand"));
   CHECK(Q.Caller.Zone == AvailabilityZone("hall 1"));
-  CHECK(wire::readQuestion("").Caller == Place());
+  CHECK(wire::readQuestion("").Caller == Location());
   CHECK(wire::readQuestion("zone=%").Caller.Zone == AvailabilityZone("%"));
   auto Doc = nlohmann::json::parse(
       wire::writeAddresses({{"10.0.0.1", 80}, {"10.0.0.2", 81}}, Millis(1500)));
--- a/tests/failure/ColdReplicasInAFleet.cpp
+++ b/tests/failure/ColdReplicasInAFleet.cpp
@@ -45,7 +45,7 @@
   void join(std::size_t I, const FleetView &View) {
     ReplicaRegistryOptions O;
     O.Warmup = Bound;
-    Place Here{AvailabilityZone("z" + std::to_string(I % 6)), region(I)};
+    Location Here{AvailabilityZone("z" + std::to_string(I % 6)), region(I)};
     if (Registries.size() <= I)
       Registries.resize(I + 1);
     Registries[I] = std::make_unique<ReplicaRegistry>(Here, O);
@@ -79,7 +79,7 @@
     std::size_t Most = 0;
     for (Instant End = Now + For; Now < End; Now += Millis(20))
       for (auto &B : Registries) {
-        Choice C;
+        ReplicaCriteria C;
         C.Service = &Info;
         C.Work = Millis(5);
         ReplicaPtr To = B->choose(C, 0.5, Now);
--- a/tests/failure/ConnectionsFollowNeed.cpp
+++ b/tests/failure/ConnectionsFollowNeed.cpp
@@ -13,12 +13,12 @@
 
 struct NeedFixture : ForwardFixture {
   NeedFixture() {
-    Replicas.setSharing({1, 5, 1.0 / 6});
+    Replicas.setFleetShare({1, 5, 1.0 / 6});
     add("far", "a", "there");
   }
   ReplicaPtr choose(bool WithinShare = false) {
     ServiceInfo Info{ServiceName("a"), 25};
-    Choice C;
+    ReplicaCriteria C;
     C.Service = &Info;
     C.Work = Millis(10);
     C.WithinShare = WithinShare;
@@ -36,7 +36,7 @@
     return Open;
   }
   std::size_t share() const {
-    return connectionShare(25, Distance::OtherRegion, Replicas.sharing());
+    return connectionShare(25, Distance::OtherRegion, Replicas.fleetShare());
   }
 };
 
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -162,7 +162,7 @@
   constexpr int OthersCount = 8;
   std::vector<ForwardRun> Others;
   Others.reserve(OthersCount);
-  Replicas.setSharing({300, 300, 1.0 / 600});
+  Replicas.setFleetShare({300, 300, 1.0 / 600});
   for (int N = 0; N < OthersCount; ++N)
     Others.push_back(run(route(shards())));
   for (ForwardRun &O : Others)
--- a/tests/failure/PartsAreMissing.cpp
+++ b/tests/failure/PartsAreMissing.cpp
@@ -173,7 +173,7 @@
   // says that requests wait there, so that no more are tried.
   for (const char *Shard : {"a", "b", "c", "d"}) {
     ServiceInfo Info{ServiceName(Shard), 100};
-    Choice C;
+    ReplicaCriteria C;
     C.Service = &Info;
     C.Work = Millis(10);
     while (ReplicaPtr R = Replicas.choose(C, 0, Now)) {
@@ -213,7 +213,7 @@
 
 TEST_CASE_FIXTURE(ShardFixture, "once a part ran, the others wait for room") {
   ServiceInfo Info{ServiceName("d"), 100};
-  Choice C;
+  ReplicaCriteria C;
   C.Service = &Info;
   C.Work = Millis(10);
   std::vector<std::pair<ReplicaPtr, Instant>> Held;
--- a/tests/failure/ReplicasStartAgain.cpp
+++ b/tests/failure/ReplicasStartAgain.cpp
@@ -30,7 +30,7 @@
   }
   ReplicaPtr chosen() {
     ServiceInfo Info{ServiceName("a"), 100};
-    Choice C;
+    ReplicaCriteria C;
     C.Service = &Info;
     C.Work = Millis(10);
     return Replicas.choose(C, 0, Now);
--- a/tests/failure/VanishedReplicasStandIn.cpp
+++ b/tests/failure/VanishedReplicasStandIn.cpp
@@ -18,7 +18,7 @@
   }
   std::string chosen() {
     ServiceInfo Info{ServiceName("a"), 100};
-    Choice C;
+    ReplicaCriteria C;
     C.Service = &Info;
     C.Work = Millis(10);
     ReplicaPtr R = Replicas.choose(C, 0, Now);
