--- a/packages/forward/Replica.cpp
+++ b/packages/forward/Replica.cpp
@@ -183,7 +183,7 @@
   return Load && Load->Waiting > 0 && Now < LoadAt + BusyReportValidity;
 }
 
-bool Replica::stuck(Duration Work, Instant Now) const {
+bool Replica::stalled(Duration Work, Instant Now) const {
   if (Open.empty())
     return false;
   Instant Oldest = *std::ranges::min_element(Open);
@@ -210,7 +210,7 @@
 Duration Replica::predicted(Duration Work, Instant Now) const {
   double Ms = toMillisF(expected(Work, Now)) + priceMs(Far);
   Ms += failureRate(Now) * FailureCostMs;
-  if (stuck(Work, Now))
+  if (stalled(Work, Now))
     Ms += StuckCostMs;
   return fromMillisF(Ms);
 }
@@ -222,14 +222,14 @@
   TrialAt = Now + RestTime;
 }
 
-bool Replica::takeTrial(Instant Now) {
+bool Replica::takeProbe(Instant Now) {
   if (!Resting || TrialRuns || Now < TrialAt)
     return false;
   TrialRuns = true;
   return true;
 }
 
-void Replica::trialEnded(bool Worked, Instant Now) {
+void Replica::probeEnded(bool Worked, Instant Now) {
   if (!Resting)
     return;
   if (!Worked) {
--- a/packages/forward/Replica.h
+++ b/packages/forward/Replica.h
@@ -83,7 +83,7 @@
   Distance distance() const { return Far; }
   /// Connections that were opened before this lead to a process that is gone:
   /// whatever is sent on one is lost, and nobody knows whether it ran.
-  Instant connectionsFrom() const { return RestartedAt; }
+  Instant connectionsValidFrom() const { return RestartedAt; }
   /// The same incarnation registered anew, with another state.
   void update(ReplicaEntry Entry, Instant Now);
 
@@ -118,13 +118,13 @@
   ConnectionAllowance &allowance() { return Allowance; }
   const ConnectionAllowance &allowance() const { return Allowance; }
   /// Sends wait there and nothing came back for longer than they should take.
-  bool stuck(Duration Work, Instant Now) const;
+  bool stalled(Duration Work, Instant Now) const;
 
   /// It gets no callers' requests until a trial connection worked.
-  bool resting() const { return Resting; }
+  bool ejected() const { return Resting; }
   /// A trial connection should be opened now; answers true once for each rest.
-  bool takeTrial(Instant Now);
-  void trialEnded(bool Worked, Instant Now);
+  bool takeProbe(Instant Now);
+  void probeEnded(bool Worked, Instant Now);
   /// Answers against the usual time; 1 is as usual.
   double slowness(Instant Now) const;
 
--- a/packages/forward/ReplicaRegistry.cpp
+++ b/packages/forward/ReplicaRegistry.cpp
@@ -167,9 +167,9 @@
           R.warmupAdmits(warmupRate(Info.WarmupRate, Options.Warmup), Now));
 }
 
-void ReplicaRegistry::storeAway() { StoreIsAway = true; }
+void ReplicaRegistry::storeLost() { StoreIsAway = true; }
 
-void ReplicaRegistry::storeBack(Instant Now) {
+void ReplicaRegistry::storeRecovered(Instant Now) {
   if (!StoreIsAway)
     return;
   StoreIsAway = false;
@@ -190,7 +190,7 @@
 bool ReplicaRegistry::mayServe(const Slot &S, Instant Now) const {
   const ReplicaEntry &E = S.Ptr->entry();
   bool Stays = S.Registered ? !E.Leaving : holds(S, Now);
-  return Stays && !S.Ptr->resting() && ZonesKnown && !evacuated(E.Zone);
+  return Stays && !S.Ptr->ejected() && ZonesKnown && !evacuated(E.Zone);
 }
 
 bool ReplicaRegistry::hasRoom(const Replica &R, const ReplicaCriteria &C,
@@ -258,7 +258,7 @@
     return Best;
   for (const Slot *S : At->second)
     if (S->Ptr != Other && Where.allows(S->Ptr->entry().Reg) &&
-        mayServe(*S, Now) && !S->Ptr->stuck(Work, Now))
+        mayServe(*S, Now) && !S->Ptr->stalled(Work, Now))
       Best = std::min(Best, S->Ptr->expected(Work, Now));
   return Best;
 }
@@ -292,11 +292,11 @@
   });
 }
 
-std::vector<ReplicaPtr> ReplicaRegistry::dueTrials(Instant Now) {
+std::vector<ReplicaPtr> ReplicaRegistry::dueProbes(Instant Now) {
   std::vector<ReplicaPtr> Due;
   for (auto &[Id, S] : ById)
     if (S.Registered && !S.Ptr->entry().Leaving &&
-        !evacuated(S.Ptr->entry().Zone) && S.Ptr->takeTrial(Now))
+        !evacuated(S.Ptr->entry().Zone) && S.Ptr->takeProbe(Now))
       Due.push_back(S.Ptr);
   return Due;
 }
--- a/packages/forward/ReplicaRegistry.h
+++ b/packages/forward/ReplicaRegistry.h
@@ -106,8 +106,8 @@
   void put(ReplicaEntry Entry, Instant Now);
   void remove(const UpstreamId &Id, Instant Now);
   /// The store stopped or began to answer us.
-  void storeAway();
-  void storeBack(Instant Now);
+  void storeLost();
+  void storeRecovered(Instant Now);
   /// Replicas of \p Zones get no new sends until this is called without them.
   void setEvacuated(std::set<AvailabilityZone> Zones, Instant Now);
   /// Whether it is known which zones are evacuated.
@@ -136,7 +136,7 @@
   /// Forgets replicas whose time as a stand-in has passed.
   void expire(Instant Now);
   /// Replicas that should be tried with a connection now.
-  std::vector<ReplicaPtr> dueTrials(Instant Now);
+  std::vector<ReplicaPtr> dueProbes(Instant Now);
 
   std::size_t size() const { return ById.size(); }
 
--- a/packages/front/RequestHandler.cpp
+++ b/packages/front/RequestHandler.cpp
@@ -98,7 +98,7 @@
   const CallerRequest &R = J->E->request();
   UpstreamRequest U;
   U.To = S.To->entry().At;
-  U.OpenedFrom = S.To->connectionsFrom();
+  U.OpenedFrom = S.To->connectionsValidFrom();
   HttpHeaders Extra = {{Names.Deadline, std::to_string(toMillis(S.TimeLeft))},
                        {Names.Wanted, S.To->entry().Id.str()}};
   U.Bytes = requestText(J->Head, Extra, R.Body);
@@ -200,14 +200,14 @@
 }
 
 void RequestHandler::Impl::tryResting() {
-  for (const ReplicaPtr &R : Shared.Replicas.dueTrials(Timers.now()))
+  for (const ReplicaPtr &R : Shared.Replicas.dueProbes(Timers.now()))
     Pool.tryConnect(R->entry().At, [this, R](ConnectEnd How) {
       bool Worked = How == ConnectEnd::Opened;
       logEvent(LogLevel::Info, "replica_tried",
                {{"replica", R->entry().Id.str()},
                 {"service", R->entry().Service.str()},
                 {"works", Worked ? "yes" : "no"}});
-      R->trialEnded(Worked, Timers.now());
+      R->probeEnded(Worked, Timers.now());
     });
 }
 
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -227,12 +227,12 @@
     H.Changed = [this](const KindChange &C) { Entries.takeReplica(C); };
     H.Away = [this](const Error &Why) {
       logAway("replicas", Why);
-      D.replicas().storeAway();
+      D.replicas().storeLost();
       doubtQuiet();
     };
     H.Back = [this] {
       logBack("replicas");
-      D.replicas().storeBack(Loop.now());
+      D.replicas().storeRecovered(Loop.now());
       storeIsBack();
     };
     H.Advanced = [this] { Server.advanced(Forms.ReplicaKind); };
--- a/tests/failure/DeadReplicasRest.cpp
+++ b/tests/failure/DeadReplicasRest.cpp
@@ -38,13 +38,13 @@
 
 TEST_CASE_FIXTURE(ReplicaFixture, "a refused connection sends it to rest") {
   send(SendEnd::NotSent, Millis(1));
-  CHECK(R.resting());
-  CHECK_FALSE(R.takeTrial(Now));
+  CHECK(R.ejected());
+  CHECK_FALSE(R.takeProbe(Now));
   Now += Millis(250);
-  CHECK(R.takeTrial(Now));
-  CHECK_FALSE(R.takeTrial(Now));
-  R.trialEnded(true, Now);
-  CHECK_FALSE(R.resting());
+  CHECK(R.takeProbe(Now));
+  CHECK_FALSE(R.takeProbe(Now));
+  R.probeEnded(true, Now);
+  CHECK_FALSE(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
@@ -53,10 +53,10 @@
   Duration Longest{};
   for (int I = 0; I < 8; ++I) {
     Instant From = Now;
-    while (!R.takeTrial(Now))
+    while (!R.takeProbe(Now))
       Now += Millis(10);
     Longest = std::max(Longest, Now - From);
-    R.trialEnded(false, Now);
+    R.probeEnded(false, Now);
   }
   CHECK(Longest >= Seconds(2));
   CHECK(Longest <= Seconds(4));
@@ -67,22 +67,22 @@
   send(SendEnd::Answered, Millis(10));
   send(SendEnd::Lost, Millis(5));
   send(SendEnd::Lost, Millis(5));
-  CHECK_FALSE(R.resting());
+  CHECK_FALSE(R.ejected());
   send(SendEnd::Lost, Millis(5));
-  CHECK(R.resting());
+  CHECK(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "sends that outlast every pause count as lost") {
   for (int I = 0; I < 3; ++I)
     send(SendEnd::Abandoned, Millis(400));
-  CHECK(R.resting());
+  CHECK(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture, "sends abandoned within a pause do not") {
   for (int I = 0; I < 9; ++I)
     send(SendEnd::Abandoned, Millis(150));
-  CHECK_FALSE(R.resting());
+  CHECK_FALSE(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
@@ -91,11 +91,11 @@
   Instant Started = Now;
   R.sendStarted(Now);
   Now += Millis(60);
-  CHECK(R.stuck(Work, Now));
+  CHECK(R.stalled(Work, Now));
   CHECK(R.predicted(Work, Now) > Usual + Millis(100));
   Now += Millis(90);
   R.sendEnded(Started, SendEnd::Answered, Work, Now);
-  CHECK_FALSE(R.stuck(Work, Now));
+  CHECK_FALSE(R.stalled(Work, Now));
   // One late answer is forgotten within seconds.
   CHECK(R.predicted(Work, Now + Seconds(5)) < Usual + Millis(10));
 }
--- a/tests/failure/ReplicasStartAgain.cpp
+++ b/tests/failure/ReplicasStartAgain.cpp
@@ -57,10 +57,10 @@
   CHECK(New != Old);
   CHECK(New->openSends() == 0);
   CHECK(New->predicted(Millis(10), Now) < Millis(12));
-  CHECK(New->connectionsFrom() == Now);
+  CHECK(New->connectionsValidFrom() == Now);
   // The end of a send to the old process does not count against the new one.
   Old->sendEnded(Now, SendEnd::Lost, Millis(10), Now);
-  CHECK_FALSE(New->resting());
+  CHECK_FALSE(New->ejected());
 }
 
 TEST_CASE_FIXTURE(RestartFixture, "at another address it is found there") {
@@ -111,11 +111,11 @@
 
 TEST_CASE_FIXTURE(RestartFixture, "it starts again while the store is away") {
   Replicas.put(entry(Before), Now);
-  Replicas.storeAway();
+  Replicas.storeLost();
   ReplicaPtr Old = chosen();
   loseThree(Old);
   Now += Seconds(20);
-  Replicas.storeBack(Now);
+  Replicas.storeRecovered(Now);
   Replicas.replaceAll({entry(After)}, Now);
   REQUIRE(chosen());
   CHECK(chosen() != Old);
--- a/tests/failure/VanishedReplicasStandIn.cpp
+++ b/tests/failure/VanishedReplicasStandIn.cpp
@@ -53,12 +53,12 @@
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "after an outage entries have time to come back") {
-  Replicas.storeAway();
+  Replicas.storeLost();
   vanish("near");
   vanish("far");
   Now += Seconds(9);
   Replicas.expire(Now);
-  Replicas.storeBack(Now);
+  Replicas.storeRecovered(Now);
   CHECK(chosen() == "near");
   Now += Seconds(2);
   add("far", "a", "there");
