--- a/packages/forward/ForwardAnswer.cpp
+++ b/packages/forward/ForwardAnswer.cpp
@@ -31,9 +31,9 @@
 bool ForwardRun::refuseAtOnce(ForwardShared &S, RunOutput &Out, Instant Now) {
   if (Now >= End) {
     finish(Out,
-           OwnAnswer{ResultCode::WouldMissDeadline,
-                     {},
-                     "the deadline passes before any replica could answer"},
+           LocalAnswer{ResultCode::WouldMissDeadline,
+                       {},
+                       "the deadline passes before any replica could answer"},
            Now);
     return true;
   }
@@ -53,8 +53,8 @@
       }));
 }
 
-OwnAnswer ForwardRun::noReplicas(ForwardShared &S, std::size_t Servable,
-                                 Instant Now) const {
+LocalAnswer ForwardRun::noReplicas(ForwardShared &S, std::size_t Servable,
+                                   Instant Now) const {
   std::string Why = fmt::format("{} of {} services have a usable replica",
                                 Servable, Parts.size());
   AllowedRegions Anywhere = AllowedRegions::anywhere();
@@ -84,7 +84,7 @@
 }
 
 bool ForwardRun::enough() const {
-  return Story.PartsIn > 0 && suffices(Story.PartsIn);
+  return Story.PartsSucceeded > 0 && suffices(Story.PartsSucceeded);
 }
 
 void ForwardRun::settle(RunOutput &Out, Instant Now) {
@@ -112,7 +112,7 @@
 void ForwardRun::answerParts(RunOutput &Out, Instant Now) {
   withdraw(Out, Now);
   if (!Fan) {
-    finish(Out, PassedAnswer{std::move(Parts.front().Reply)}, Now);
+    finish(Out, RelayedAnswer{std::move(Parts.front().Reply)}, Now);
     return;
   }
   MergedAnswer A;
@@ -123,7 +123,7 @@
     A.Signatures.push_back(P.Reply.Signature);
     Bodies.push_back(P.Reply.Body);
   }
-  A.Missing = Parts.size() - Story.PartsIn;
+  A.Missing = Parts.size() - Story.PartsSucceeded;
   A.Records = greatestRecords(Bodies, Fan->MaxRecords);
   finish(Out, std::move(A), Now);
 }
@@ -136,27 +136,28 @@
 void ForwardRun::answerFailure(RunOutput &Out, Instant Now, bool TimedOut) {
   withdraw(Out, Now);
   if (!Fan && Parts.front().HasReply) {
-    finish(Out, PassedAnswer{std::move(Parts.front().Reply)}, Now);
+    finish(Out, RelayedAnswer{std::move(Parts.front().Reply)}, Now);
     return;
   }
   bool NothingRan = nothingRan();
   std::string Why = fmt::format(
       "{} of {} parts in, {} sends, {} rejected, {} lost, {} not sent, {} "
       "replicas crashed",
-      Story.PartsIn, Parts.size(), Story.Sends, Story.Rejected, Story.Lost,
-      Story.NotSent, Story.Crashed);
+      Story.PartsSucceeded, Parts.size(), Story.Sends, Story.Rejected,
+      Story.Lost, Story.NotSent, Story.Crashed);
   if (NothingRan)
-    finish(Out, OwnAnswer{ResultCode::UpstreamShed, NoReplicaRetry, Why}, Now);
+    finish(Out, LocalAnswer{ResultCode::UpstreamShed, NoReplicaRetry, Why},
+           Now);
   else if (Request.Care == Caution::OneSend && Story.Crashed > 0)
-    finish(Out, OwnAnswer{ResultCode::RequestCrashes, {}, Why}, Now);
+    finish(Out, LocalAnswer{ResultCode::RequestCrashes, {}, Why}, Now);
   else if (Request.Matched->Kind == RetrySemantics::AtMostOnce)
-    finish(Out, OwnAnswer{ResultCode::OutcomeUnknown, {}, Why}, Now);
+    finish(Out, LocalAnswer{ResultCode::OutcomeUnknown, {}, Why}, Now);
   else if (crashesEnough())
-    finish(Out, OwnAnswer{ResultCode::ReplicasCrashed, {}, Why}, Now);
+    finish(Out, LocalAnswer{ResultCode::ReplicasCrashed, {}, Why}, Now);
   else if (TimedOut)
-    finish(Out, OwnAnswer{ResultCode::DeadlineExceeded, {}, Why}, Now);
+    finish(Out, LocalAnswer{ResultCode::DeadlineExceeded, {}, Why}, Now);
   else
-    finish(Out, OwnAnswer{ResultCode::ConnectionClosed, {}, Why}, Now);
+    finish(Out, LocalAnswer{ResultCode::ConnectionClosed, {}, Why}, Now);
 }
 
 void ForwardRun::finish(RunOutput &Out, ForwardAnswer Answer, Instant Now) {
@@ -173,7 +174,7 @@
     if (!X.Open)
       continue;
     X.Open = false;
-    X.To->sendEnded(X.Started, SendEnd::Abandoned, Duration(0), Now);
+    X.To->sendEnded(X.Started, SendStatus::Abandoned, Duration(0), Now);
     Out.Drop.push_back(I);
   }
   OpenSends = 0;
@@ -189,7 +190,7 @@
     --P.Open;
     --P.MayHaveRun;
     --OpenSends;
-    X.To->sendEnded(X.Started, SendEnd::Abandoned, Duration(0), Now);
+    X.To->sendEnded(X.Started, SendStatus::Abandoned, Duration(0), Now);
   }
   Out.Start.clear();
 }
--- a/packages/forward/ForwardCaution.cpp
+++ b/packages/forward/ForwardCaution.cpp
@@ -37,9 +37,9 @@
 
 /// Whether another send may start while the request is suspected.
 bool ForwardRun::mayStartOne() const {
-  bool Waits = std::ranges::any_of(
+  bool NoRoomWaits = std::ranges::any_of(
       Parts, [](const Part &P) { return P.RetryAt != Instant::max(); });
-  return OpenSends == 0 && !Waits && !crashesEnough();
+  return OpenSends == 0 && !NoRoomWaits && !crashesEnough();
 }
 
 /// Sends held parts: all of them, or while careful() one, when nothing else of
@@ -67,7 +67,7 @@
 
 /// A send of part \p Index has ended as \p Last: what is to be sent next, of
 /// this part and of those that were held.
-void ForwardRun::goOn(ForwardShared &S, unsigned Index, SendEnd Last,
+void ForwardRun::goOn(ForwardShared &S, unsigned Index, SendStatus Last,
                       RunOutput &Out, Instant Now) {
   Part &P = Parts[Index];
   if (!careful()) {
--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -134,7 +134,7 @@
   Tried.clear();
   for (const Sent &X : Sends)
     if (X.Part == Index &&
-        (X.Open || X.How == SendEnd::Lost || X.How == SendEnd::Answered))
+        (X.Open || X.How == SendStatus::Lost || X.How == SendStatus::Answered))
       Tried.push_back(X.To);
   C.Exclude = Tried;
   return S.Replicas.choose(C, Jitter, Now);
@@ -162,7 +162,7 @@
   }
   if (S.Replicas.servable(serviceOf(P), Where, Now)) {
     P.RetryAt = Now + RoomPeriod;
-    ++Story.Waits;
+    ++Story.NoRoomWaits;
   } else if (P.Open == 0) {
     P.GivenUp = true;
   }
@@ -212,9 +212,10 @@
                        Instant Now) {
   RetryBudget &B = S.Budgets[P.Service];
   double Share = S.Replicas.fleetShare().RetryShare;
-  bool Deciding = Parts.size() - Story.PartsIn <= SpareParts + DecidingParts;
-  bool Scarce =
-      S.Pressed || B.freePart(S.Rules.Retries, Share, Now) < ScarceBudget;
+  bool Deciding =
+      Parts.size() - Story.PartsSucceeded <= SpareParts + DecidingParts;
+  bool Scarce = S.RequestsQueued ||
+                B.freeFraction(S.Rules.Retries, Share, Now) < ScarceBudget;
   if (Hedge && !Deciding && Scarce)
     return false;
   if (B.trySpend(S.Rules.Retries, Share, Now))
@@ -225,7 +226,7 @@
 
 /// The part's last send ended as \p Last without an answer that can be used:
 /// another one, or none is possible.
-void ForwardRun::tryAgain(ForwardShared &S, unsigned Index, SendEnd Last,
+void ForwardRun::tryAgain(ForwardShared &S, unsigned Index, SendStatus Last,
                           RunOutput &Out, Instant Now) {
   Part &P = Parts[Index];
   if (P.In || P.Open > 0 || P.GivenUp)
@@ -235,7 +236,7 @@
                  (Request.Matched->Kind == RetrySemantics::Idempotent ||
                   P.MayHaveRun == 0);
   // A send that never left reached no replica.
-  bool Free = Last == SendEnd::NotSent;
+  bool Free = Last == SendStatus::NotSent;
   if (!Allowed || (!Free && !spend(S, P, false, Now))) {
     P.GivenUp = true;
     return;
@@ -293,7 +294,7 @@
   unsigned Waiting = Result.Load->Waiting;
   double Slots = std::max(1U, Result.Load->Slots);
   P.Queued = fromMillisF(toMillisF(work(S)) * Waiting / Slots);
-  P.FoundFull |= Result.How == SendEnd::Rejected && Waiting >= Slots &&
+  P.FoundFull |= Result.How == SendStatus::Rejected && Waiting >= Slots &&
                  Waiting >= From.longestQueue();
 }
 
@@ -328,20 +329,20 @@
 void ForwardRun::take(ForwardShared &S, const Sent &X, Part &P,
                       SendResult &Result, Instant Now) {
   switch (Result.How) {
-  case SendEnd::Rejected:
+  case SendStatus::Rejected:
     --P.MayHaveRun;
     ++Story.Rejected;
     return;
-  case SendEnd::NotSent:
+  case SendStatus::NotSent:
     --P.MayHaveRun;
     ++Story.NotSent;
     return;
-  case SendEnd::Lost:
-  case SendEnd::Abandoned:
+  case SendStatus::Lost:
+  case SendStatus::Abandoned:
     ++Story.Lost;
     Story.Crashed += Result.ReplicaCrashed;
     return;
-  case SendEnd::Answered:
+  case SendStatus::Answered:
     break;
   }
   if (usable(*Result.Reply))
@@ -354,7 +355,7 @@
   if (!usable(P.Reply))
     return;
   P.In = true;
-  ++Story.PartsIn;
+  ++Story.PartsSucceeded;
 }
 
 RunOutput ForwardRun::replied(ForwardShared &S, unsigned Send,
@@ -369,21 +370,22 @@
   Part &P = Parts[X.Part];
   --P.Open;
   bool Unusable =
-      Result.How == SendEnd::Answered &&
+      Result.How == SendStatus::Answered &&
       (!Result.Reply || (Result.Reply->success() && !usable(*Result.Reply)));
   if (Unusable)
-    Result.How = X.How = SendEnd::Lost;
-  bool Failure = Result.How == SendEnd::Answered && !Result.Reply->success() &&
+    Result.How = X.How = SendStatus::Lost;
+  bool Failure = Result.How == SendStatus::Answered &&
+                 !Result.Reply->success() &&
                  mayRetryStatus(Result.Reply->Status);
   // To its replica a failed run is as bad as a lost one.
-  X.To->sendEnded(X.Started, Failure ? SendEnd::Rejected : Result.How, work(S),
-                  Now);
+  X.To->sendEnded(X.Started, Failure ? SendStatus::Rejected : Result.How,
+                  work(S), Now);
   if (Result.Opened)
     X.To->rtt().opened(*Result.Opened);
   if (Result.ConnectionRefused)
     X.To->allowance().refused(Now);
   if (Result.WrongReplica)
-    X.To->sendEnded(X.Started, SendEnd::NotSent, work(S), Now);
+    X.To->sendEnded(X.Started, SendStatus::NotSent, work(S), Now);
   if (Result.Load)
     X.To->loadReported(*Result.Load, Now);
   noteQueue(S, P, *X.To, Result);
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -63,7 +63,7 @@
 
 /// How a send ended, as the connection saw it. Reply is set for Answered.
 struct SendResult {
-  SendEnd How = SendEnd::Lost;
+  SendStatus How = SendStatus::Lost;
   std::optional<ReplicaReply> Reply;
   std::optional<ReportedLoad> Load;
   /// Another replica listens at this address.
@@ -94,7 +94,7 @@
   Random &Rng;
   ForwardRules Rules;
   /// Requests wait for their turn: what a hedge would use, one of them needs.
-  bool Pressed = false;
+  bool RequestsQueued = false;
 };
 
 /// A caller's request, as far as the decisions need it.
@@ -122,19 +122,19 @@
 };
 
 /// A replica's reply, to be passed on as it is.
-struct PassedAnswer {
+struct RelayedAnswer {
   ReplicaReply Reply;
 };
 
 /// An answer of our own. Codes that prove "not run" are used only when nothing
 /// was sent or every send was rejected.
-struct OwnAnswer {
+struct LocalAnswer {
   ResultCode Code = ResultCode::Internal;
   Duration RetryAfter{};
   std::string Why;
 };
 
-using ForwardAnswer = std::variant<MergedAnswer, PassedAnswer, OwnAnswer>;
+using ForwardAnswer = std::variant<MergedAnswer, RelayedAnswer, LocalAnswer>;
 
 struct RunOutput {
   std::vector<StartSend> Start;
@@ -143,9 +143,9 @@
 };
 
 /// What a run did, for the log line and the metrics of its request.
-struct RunStory {
+struct RunStats {
   unsigned Parts = 0;
-  unsigned PartsIn = 0;
+  unsigned PartsSucceeded = 0;
   unsigned Sends = 0;
   unsigned Hedges = 0;
   unsigned Retries = 0;
@@ -154,9 +154,9 @@
   unsigned NotSent = 0;
   unsigned Crashed = 0; ///< Replicas that ended while they had it.
   unsigned BudgetRefusals = 0;
-  unsigned Waits = 0; ///< Times that no replica had room.
+  unsigned NoRoomWaits = 0; ///< Times that no replica had room.
 
-  friend bool operator==(const RunStory &, const RunStory &) = default;
+  friend bool operator==(const RunStats &, const RunStats &) = default;
 };
 
 class ForwardRun {
@@ -166,13 +166,13 @@
 
   /// Replicas crashed under earlier attempts, \p Before of them. To be called
   /// before begin().
-  void beCareful(Caution Care, unsigned Before) {
+  void setCaution(Caution Care, unsigned Before) {
     Request.Care = Care;
     Request.CrashedBefore = Before;
   }
   /// A newer configuration allows its route only \p Regions: whatever is sent
   /// from now on stays there too.
-  void restrictTo(const AllowedRegions &Regions) {
+  void restrictRegions(const AllowedRegions &Regions) {
     Where = Where.intersect(Regions);
   }
   RunOutput begin(ForwardShared &S, Instant Now);
@@ -188,12 +188,12 @@
   /// Nothing is open any more.
   bool done() const { return Answered && OpenSends == 0; }
   const ForwardRequest &request() const { return Request; }
-  const RunStory &story() const { return Story; }
+  const RunStats &stats() const { return Story; }
   /// It makes room for others: it is answered, or only waits for stragglers. A
   /// slow replica holds queries for long and gives no reason to start fewer.
-  bool makesRoom() const { return Answered || CutoffSeen || enough(); }
+  bool freesAdmission() const { return Answered || CutoffSeen || enough(); }
   /// A replica's run of it ended well.
-  bool succeeded() const { return Story.PartsIn > 0; }
+  bool succeeded() const { return Story.PartsSucceeded > 0; }
   /// Something of it came to a replica, or may have.
   bool reachedReplicas() const { return Story.Sends > Story.NotSent; }
   /// What it has seen of the load at replicas, for the admission of others.
@@ -215,7 +215,7 @@
     bool FoundFull = false; ///< A replica turned a send away for its queue.
     /// Waits until a run of the request has ended well.
     bool Held = false;
-    SendEnd LastEnd = SendEnd::Abandoned; ///< Of a held part's last send.
+    SendStatus LastEnd = SendStatus::Abandoned; ///< Of a held part's last send.
   };
   struct Sent {
     unsigned Part = 0;
@@ -223,14 +223,14 @@
     Instant Started;
     Instant HedgeAt = Instant::max();
     bool Open = true;
-    SendEnd How = SendEnd::Abandoned;
+    SendStatus How = SendStatus::Abandoned;
   };
 
   void decideTimes();
   void makeParts(ForwardShared &S, Instant Now);
   bool refuseAtOnce(ForwardShared &S, RunOutput &Out, Instant Now);
-  OwnAnswer noReplicas(ForwardShared &S, std::size_t Servable,
-                       Instant Now) const;
+  LocalAnswer noReplicas(ForwardShared &S, std::size_t Servable,
+                         Instant Now) const;
   std::size_t servableParts(ForwardShared &S, const AllowedRegions &In,
                             Instant Now) const;
   bool tooLate(ForwardShared &S, const Replica &To, Instant Now) const;
@@ -240,13 +240,13 @@
   const ServiceInfo &serviceOf(const Part &P) const;
   ReplicaPtr pick(ForwardShared &S, const Part &P, unsigned Index,
                   Instant Now) const;
-  void tryAgain(ForwardShared &S, unsigned Index, SendEnd Last, RunOutput &Out,
-                Instant Now);
+  void tryAgain(ForwardShared &S, unsigned Index, SendStatus Last,
+                RunOutput &Out, Instant Now);
   bool careful() const;
   bool crashesEnough() const;
   bool mayStartOne() const;
   void holdAll();
-  void goOn(ForwardShared &S, unsigned Index, SendEnd Last, RunOutput &Out,
+  void goOn(ForwardShared &S, unsigned Index, SendStatus Last, RunOutput &Out,
             Instant Now);
   void sendHeld(ForwardShared &S, RunOutput &Out, Instant Now);
   void hedge(ForwardShared &S, RunOutput &Out, Instant Now);
@@ -285,7 +285,7 @@
   bool CutoffSeen = false;
   bool Answered = false;
   Instant Began;
-  RunStory Story;
+  RunStats Story;
 };
 
 } // namespace shallot
--- a/packages/forward/Replica.cpp
+++ b/packages/forward/Replica.cpp
@@ -135,32 +135,32 @@
   LastAnswer = Now;
 }
 
-void Replica::sendEnded(Instant Started, SendEnd How, Duration Work,
+void Replica::sendEnded(Instant Started, SendStatus How, Duration Work,
                         Instant Now) {
   auto At = std::ranges::find(Open, Started);
   if (At != Open.end())
     Open.erase(At);
   switch (How) {
-  case SendEnd::Answered:
+  case SendStatus::Answered:
     noteAnswer(Started, Work, Now);
     LostInARow = 0;
     RestTime = Duration(0);
     noteFailure(0, Now);
     return;
-  case SendEnd::Rejected:
+  case SendStatus::Rejected:
     LastAnswer = Now;
     noteFailure(1, Now);
     return;
-  case SendEnd::NotSent:
+  case SendStatus::NotSent:
     noteFailure(1, Now);
     rest(Now);
     return;
-  case SendEnd::Lost:
+  case SendStatus::Lost:
     noteFailure(1, Now);
     if (++LostInARow >= LostBeforeRest)
       rest(Now);
     return;
-  case SendEnd::Abandoned:
+  case SendStatus::Abandoned:
     // Nobody learns how it would have ended. When it had taken longer than any
     // pause, it counts as lost: a replica that takes requests and never answers
     // would otherwise cost every request a hedge.
--- a/packages/forward/Replica.h
+++ b/packages/forward/Replica.h
@@ -54,7 +54,7 @@
 enum class Distance : std::uint8_t { SameZone, SameRegion, OtherRegion };
 
 /// How one send ended.
-enum class SendEnd : std::uint8_t {
+enum class SendStatus : std::uint8_t {
   Answered,  ///< A whole reply to this request.
   Rejected,  ///< The replica said that it did not run it.
   NotSent,   ///< No connection: nothing left this process.
@@ -96,7 +96,7 @@
 
   void sendStarted(Instant Now);
   /// \p Work is what such a request usually takes in a replica.
-  void sendEnded(Instant Started, SendEnd How, Duration Work, Instant Now);
+  void sendEnded(Instant Started, SendStatus How, Duration Work, Instant Now);
   void loadReported(const ReportedLoad &L, Instant Now);
 
   /// How long a send begun now would take, with what it would cost besides.
--- a/packages/forward/RetryBudget.cpp
+++ b/packages/forward/RetryBudget.cpp
@@ -52,8 +52,8 @@
   return true;
 }
 
-double RetryBudget::freePart(const RetryAllowance &A, double Part,
-                             Instant Now) const {
+double RetryBudget::freeFraction(const RetryAllowance &A, double Part,
+                                 Instant Now) const {
   Sums S = sums(A, Now);
   double Room = allowed(A, S.Requests, Part);
   return Room <= 0 ? 0 : std::clamp(1 - S.Extra / Room, 0.0, 1.0);
--- a/packages/forward/RetryBudget.h
+++ b/packages/forward/RetryBudget.h
@@ -45,7 +45,7 @@
   /// is this daemon's.
   bool trySpend(const RetryAllowance &A, double Part, Instant Now);
   /// Part of the window's room that is still free, from 0 to 1.
-  double freePart(const RetryAllowance &A, double Part, Instant Now) const;
+  double freeFraction(const RetryAllowance &A, double Part, Instant Now) const;
 
 private:
   static constexpr std::size_t SlicesPerWindow = 20;
--- a/packages/front/AnswerWriting.cpp
+++ b/packages/front/AnswerWriting.cpp
@@ -10,9 +10,9 @@
 std::string_view outcomeOf(const ForwardAnswer &A) {
   if (const auto *M = std::get_if<MergedAnswer>(&A))
     return M->Missing == 0 ? "complete" : "partial";
-  if (const auto *P = std::get_if<PassedAnswer>(&A))
+  if (const auto *P = std::get_if<RelayedAnswer>(&A))
     return P->Reply.success() ? "complete" : "replica_failure";
-  return effectText(infoOf(std::get<OwnAnswer>(A).Code).Effect);
+  return effectText(infoOf(std::get<LocalAnswer>(A).Code).Effect);
 }
 
 CallerReply writeMerged(MergedAnswer M, const HeaderNames &Names) {
@@ -29,7 +29,7 @@
   return Reply;
 }
 
-CallerReply writePassed(PassedAnswer P) {
+CallerReply writePassed(RelayedAnswer P) {
   CallerReply Reply;
   Reply.Status = P.Reply.Status;
   Reply.Headers = std::move(P.Reply.Headers);
@@ -39,7 +39,7 @@
 
 } // namespace
 
-CallerReply writeOwnAnswer(const OwnAnswer &A, std::string Id) {
+CallerReply writeOwnAnswer(const LocalAnswer &A, std::string Id) {
   return callerProblem(A.Code, A.Why, std::move(Id), A.RetryAfter);
 }
 
@@ -47,19 +47,19 @@
                         const std::string &Id) {
   if (auto *M = std::get_if<MergedAnswer>(&A))
     return writeMerged(std::move(*M), Names);
-  if (auto *P = std::get_if<PassedAnswer>(&A))
+  if (auto *P = std::get_if<RelayedAnswer>(&A))
     return writePassed(std::move(*P));
-  return writeOwnAnswer(std::get<OwnAnswer>(A), Id);
+  return writeOwnAnswer(std::get<LocalAnswer>(A), Id);
 }
 
-OwnAnswer quarantinedAnswer() {
+LocalAnswer quarantinedAnswer() {
   return {ResultCode::RequestQuarantined,
           {},
           "replicas crashed each time that they ran this request; it is not "
           "sent to them any more"};
 }
 
-OwnAnswer noTrialAnswer() {
+LocalAnswer noTrialAnswer() {
   return {
       ResultCode::TrialUnavailable, TrialRetry,
       "replicas crashed under this request, and whether they crash of it is "
@@ -75,11 +75,11 @@
               {{"route", Request.Matched->Name}, {"outcome", Outcome}});
   Meter.latency("shallot_forward_seconds", {{"route", Request.Matched->Name}},
                 Took);
-  const RunStory &S = Run.story();
+  const RunStats &S = Run.stats();
   if (Outcome == "complete" && Took <= Request.Matched->Objective)
     return;
-  const auto *Own = std::get_if<OwnAnswer>(&A);
-  const auto *Passed = std::get_if<PassedAnswer>(&A);
+  const auto *Own = std::get_if<LocalAnswer>(&A);
+  const auto *Passed = std::get_if<RelayedAnswer>(&A);
   logEvent(LogLevel::Info, "request",
            {{"id", Name.Id},
             {"fingerprint", Name.Print.str()},
@@ -91,7 +91,7 @@
             {"why", Own ? Own->Why : ""},
             {"took_ms", fmt::format("{:.1f}", toMillisF(Took))},
             {"waits_ms", std::to_string(toMillis(Request.CallerWaits))},
-            {"parts", fmt::format("{}/{}", S.PartsIn, S.Parts)},
+            {"parts", fmt::format("{}/{}", S.PartsSucceeded, S.Parts)},
             {"sends", std::to_string(S.Sends)},
             {"hedges", std::to_string(S.Hedges)},
             {"retries", std::to_string(S.Retries)},
@@ -100,7 +100,7 @@
             {"crashed", std::to_string(S.Crashed)},
             {"not_sent", std::to_string(S.NotSent)},
             {"no_budget", std::to_string(S.BudgetRefusals)},
-            {"no_room", std::to_string(S.Waits)}});
+            {"no_room", std::to_string(S.NoRoomWaits)}});
 }
 
 } // namespace shallot
--- a/packages/front/AnswerWriting.h
+++ b/packages/front/AnswerWriting.h
@@ -23,12 +23,12 @@
                         const std::string &Id);
 
 /// A refusal or a failure of our own.
-CallerReply writeOwnAnswer(const OwnAnswer &A, std::string Id);
+CallerReply writeOwnAnswer(const LocalAnswer &A, std::string Id);
 
 /// The refusal of a request that is kept from replicas, and of one whose trial
 /// was not granted.
-OwnAnswer quarantinedAnswer();
-OwnAnswer noTrialAnswer();
+LocalAnswer quarantinedAnswer();
+LocalAnswer noTrialAnswer();
 
 /// Counts \p A, the answer of \p Run to the request \p Name, and logs it if it
 /// is not whole or came after the route's objective.
--- a/packages/front/ReplyReading.cpp
+++ b/packages/front/ReplyReading.cpp
@@ -51,7 +51,8 @@
                      bool KeepHeaders) {
   SendResult R;
   if (Reply.How != CallEnd::Answered) {
-    R.How = Reply.How == CallEnd::NotSent ? SendEnd::NotSent : SendEnd::Lost;
+    R.How =
+        Reply.How == CallEnd::NotSent ? SendStatus::NotSent : SendStatus::Lost;
     R.ConnectionRefused = Reply.ConnectionRefused;
     return R;
   }
@@ -61,10 +62,10 @@
   bool Rejected =
       R.WrongReplica || !headerValue(Reply.Headers, Names.NotRun).empty();
   if (Rejected) {
-    R.How = SendEnd::Rejected;
+    R.How = SendStatus::Rejected;
     return R;
   }
-  R.How = SendEnd::Answered;
+  R.How = SendStatus::Answered;
   ReplicaReply Out;
   Out.Status = Reply.Status;
   Out.Signature = std::string(headerValue(Reply.Headers, Names.Signature));
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-OwnAnswer overloadAnswer(const AdmissionDecision &V) {
+LocalAnswer overloadAnswer(const AdmissionDecision &V) {
   return {V.Code, V.RetryAfter, "more than the replicas can take"};
 }
 
@@ -87,13 +87,14 @@
     return turnAway(J, quarantinedAnswer());
   if (Now == Standing::OnTrial && !J->Trial)
     return turnAway(J, noTrialAnswer());
-  J->Run.beCareful(Gate.cautionFor(J->Name, J->Trial), Gate.crashesOf(J->Name));
+  J->Run.setCaution(Gate.cautionFor(J->Name, J->Trial),
+                    Gate.crashesOf(J->Name));
   apply(J, J->Run.begin(Shared, Timers.now()));
 }
 
 /// Nothing of it was sent: it leaves as if its caller had gone, and the caller
 /// is told when to come back, if it should.
-void RequestHandler::Impl::turnAway(const JobPtr &J, OwnAnswer A) {
+void RequestHandler::Impl::turnAway(const JobPtr &J, LocalAnswer A) {
   if (TicketId Ticket = std::exchange(J->Ticket, 0))
     Admit.done(Ticket, {}, Timers.now());
   J->Run.callerGone(Timers.now());
@@ -128,7 +129,7 @@
     J->Ticket = 0;
     turnAway(J, overloadAnswer(E.Final));
   }
-  Shared.Pressed = !Waiting.empty();
+  Shared.RequestsQueued = !Waiting.empty();
   Timers.cancel(AdmissionTimer);
   AdmissionTimer = 0;
   if (auto Next = Admit.nextExpiry())
--- a/packages/front/RequestHandler.cpp
+++ b/packages/front/RequestHandler.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void RequestHandler::Impl::refuse(const ExchangePtr &E, const OwnAnswer &A) {
+void RequestHandler::Impl::refuse(const ExchangePtr &E, const LocalAnswer &A) {
   std::string Id(headerValue(E->request().Headers, Names.RequestId));
   logEvent(LogLevel::Info, "request_refused",
            {{"id", Id},
@@ -89,7 +89,7 @@
     send(J, S);
   if (Out.Answer)
     answer(J, std::move(*Out.Answer));
-  else if (J->Run.makesRoom())
+  else if (J->Run.freesAdmission())
     leave(J);
   schedule(J);
 }
@@ -154,7 +154,7 @@
 /// What crashed under an attempt without success is for the other daemons to
 /// know, also when the caller did not wait for its end.
 void RequestHandler::Impl::noteFailure(const JobPtr &J) {
-  if (J->Run.succeeded() || J->Run.story().Crashed == 0)
+  if (J->Run.succeeded() || J->Run.stats().Crashed == 0)
     return;
   bool First = !std::exchange(J->Suspected, true);
   Gate.attemptFailed(J->Name, J->Trial, First);
@@ -226,7 +226,7 @@
     const CallerRequest &R = J->E->request();
     std::string Host = hostOf(headerValue(R.Headers, "Host"));
     if (const Route *Now = Config->match(Host, R.path()))
-      J->Run.restrictTo(Now->Regions);
+      J->Run.restrictRegions(Now->Regions);
   }
 }
 
--- a/packages/front/RequestHandlerImpl.h
+++ b/packages/front/RequestHandlerImpl.h
@@ -48,12 +48,12 @@
   Impl &operator=(const Impl &) = delete;
 
   void handle(const ExchangePtr &E);
-  void refuse(const ExchangePtr &E, const OwnAnswer &A);
+  void refuse(const ExchangePtr &E, const LocalAnswer &A);
   void vet(const JobPtr &J);
   void askTrial(const JobPtr &J);
   void admit(const JobPtr &J);
   void start(const JobPtr &J);
-  void turnAway(const JobPtr &J, OwnAnswer A);
+  void turnAway(const JobPtr &J, LocalAnswer A);
   void leave(const JobPtr &J);
   void pollAdmission();
   void apply(const JobPtr &J, RunOutput Out);
--- a/tests/ForwardFixture.h
+++ b/tests/ForwardFixture.h
@@ -57,7 +57,7 @@
   static SendResult answered(const std::string &Body = "body", int Status = 200,
                              const std::string &Signature = "sig") {
     SendResult S;
-    S.How = SendEnd::Answered;
+    S.How = SendStatus::Answered;
     ReplicaReply R;
     R.Status = Status;
     R.Body = Body;
@@ -65,7 +65,7 @@
     S.Reply = R;
     return S;
   }
-  static SendResult ended(SendEnd How) {
+  static SendResult ended(SendStatus How) {
     SendResult S;
     S.How = How;
     return S;
@@ -87,10 +87,10 @@
     return All;
   }
 
-  static const OwnAnswer &own(const RunOutput &Out) {
+  static const LocalAnswer &own(const RunOutput &Out) {
     REQUIRE(Out.Answer);
-    REQUIRE(std::holds_alternative<OwnAnswer>(*Out.Answer));
-    return std::get<OwnAnswer>(*Out.Answer);
+    REQUIRE(std::holds_alternative<LocalAnswer>(*Out.Answer));
+    return std::get<LocalAnswer>(*Out.Answer);
   }
 
   Instant Now{Seconds(1000)};
--- a/tests/ForwardWorld.cpp
+++ b/tests/ForwardWorld.cpp
@@ -174,7 +174,7 @@
     else
       refused(J, E.Final.RetryAfter);
   }
-  D.Shared.Pressed = !D.Waiting.empty();
+  D.Shared.RequestsQueued = !D.Waiting.empty();
   if (auto Next = D.Admit.nextExpiry())
     at(std::max(*Next, Now + Micros(1)), [this, Home] { pollAdmission(Home); });
 }
@@ -186,7 +186,7 @@
   double Share = 0;
   if (const auto *M = std::get_if<MergedAnswer>(&A))
     Share = 1 - double(M->Missing) / Shape.Shards;
-  else if (const auto *P = std::get_if<PassedAnswer>(&A))
+  else if (const auto *P = std::get_if<RelayedAnswer>(&A))
     Share = P->Reply.success() ? 1 : 0;
   constexpr double LateCredit = 0.1;
   bool InTime = toMillisF(Now - J.Began) <= Shape.ObjectiveMs;
@@ -203,13 +203,13 @@
   }
   for (const StartSend &S : Out.Start)
     start(J, S);
-  if (J->Run.makesRoom())
+  if (J->Run.freesAdmission())
     if (TicketId Ticket = std::exchange(J->Ticket, 0)) {
       Daemons[J->Home]->Admit.done(Ticket, J->Run.load(Now), Now);
       pollAdmission(J->Home);
     }
   if (Out.Answer) {
-    const auto *Own = std::get_if<OwnAnswer>(&*Out.Answer);
+    const auto *Own = std::get_if<LocalAnswer>(&*Out.Answer);
     if (Own && infoOf(Own->Code).Effect == RequestEffect::NotRun)
       refused(J, Own->RetryAfter);
     else
@@ -234,7 +234,7 @@
   auto W = std::make_shared<Work>();
   W->Ms = workMs();
   J->Works[S.Send] = W;
-  W->Done = [this, J, Send = S.Send, Matched, W](SendEnd How,
+  W->Done = [this, J, Send = S.Send, Matched, W](SendStatus How,
                                                  ReportedLoad Load) {
     bool Connected = W->On != nullptr;
     hangUp(*W);
@@ -243,13 +243,13 @@
         return;
       SendResult Result;
       Result.How = How;
-      Result.ConnectionRefused = How == SendEnd::Lost && !Connected;
+      Result.ConnectionRefused = How == SendStatus::Lost && !Connected;
       // As a new connection would have told.
-      if (How == SendEnd::Answered)
+      if (How == SendStatus::Answered)
         Result.Opened = 2 * Matched;
-      if (How == SendEnd::Answered || How == SendEnd::Rejected)
+      if (How == SendStatus::Answered || How == SendStatus::Rejected)
         Result.Load = Load;
-      if (How == SendEnd::Answered) {
+      if (How == SendStatus::Answered) {
         ReplicaReply Reply;
         Reply.Status = 200;
         Reply.Signature = "s";
@@ -261,11 +261,11 @@
     });
   };
   if (R->What.Refuse) {
-    at(Now + Matched, [W] { W->Done(SendEnd::NotSent, {}); });
+    at(Now + Matched, [W] { W->Done(SendStatus::NotSent, {}); });
     return;
   }
   if (R->What.Dark) {
-    at(Now + ConnectTimeout, [W] { W->Done(SendEnd::NotSent, {}); });
+    at(Now + ConnectTimeout, [W] { W->Done(SendStatus::NotSent, {}); });
     return;
   }
   at(Now + Matched, [this, J, R, W] {
@@ -274,7 +274,7 @@
     (First ? Firsts : Extras)[R->Shard].push_back(Now);
     if (R->Connections >= Shape.MaxConnections) {
       ++Figures.Resets;
-      return W->Done(SendEnd::Lost, {});
+      return W->Done(SendStatus::Lost, {});
     }
     ++R->Connections;
     W->On = R;
@@ -294,7 +294,7 @@
 void ForwardWorld::arrive(ModelReplica &R, const std::shared_ptr<Work> &W) {
   bool Full = R.Running >= Shape.Slots && R.Queue.size() >= Shape.QueueLimit;
   if (Full || uniform01(Rng) < R.What.Shed) {
-    W->Done(SendEnd::Rejected, loadOf(R));
+    W->Done(SendStatus::Rejected, loadOf(R));
     return;
   }
   R.Queue.push_back(W);
@@ -322,7 +322,7 @@
     at(End, [this, &R, W, Lost] {
       --R.Running;
       if (!W->Dropped)
-        W->Done(Lost ? SendEnd::Lost : SendEnd::Answered, loadOf(R));
+        W->Done(Lost ? SendStatus::Lost : SendStatus::Answered, loadOf(R));
       pump(R);
     });
   }
--- a/tests/ForwardWorld.h
+++ b/tests/ForwardWorld.h
@@ -89,7 +89,7 @@
 private:
   struct ModelReplica;
   struct Work {
-    std::function<void(SendEnd, ReportedLoad)> Done;
+    std::function<void(SendStatus, ReportedLoad)> Done;
     double Ms = 0;
     bool Dropped = false;
     ModelReplica *On = nullptr; ///< It holds a connection there.
--- a/tests/failure/ActionsAreForwardedOnce.cpp
+++ b/tests/failure/ActionsAreForwardedOnce.cpp
@@ -28,7 +28,7 @@
   ForwardRun R = action();
   RunOutput Out = R.begin(Shared, Now);
   REQUIRE(Out.Start.size() == 1);
-  Out = R.replied(Shared, 0, ended(SendEnd::Lost), Now + Millis(5));
+  Out = R.replied(Shared, 0, ended(SendStatus::Lost), Now + Millis(5));
   CHECK(Out.Start.empty());
   CHECK(own(Out).Code == ResultCode::OutcomeUnknown);
   CHECK_FALSE(provesNotRun(own(Out).Code));
@@ -46,19 +46,19 @@
   ForwardRun R = action();
   RunOutput Out = R.begin(Shared, Now);
   ReplicaPtr First = Out.Start.front().To;
-  Out = R.replied(Shared, 0, ended(SendEnd::Rejected), Now + Millis(2));
+  Out = R.replied(Shared, 0, ended(SendStatus::Rejected), Now + Millis(2));
   REQUIRE(Out.Start.size() == 1);
   CHECK(Out.Start.front().To != First);
   Out = R.replied(Shared, 1, answered(), Now + Millis(9));
   REQUIRE(Out.Answer);
-  CHECK(std::get<PassedAnswer>(*Out.Answer).Reply.Body == "body");
+  CHECK(std::get<RelayedAnswer>(*Out.Answer).Reply.Body == "body");
 }
 
 TEST_CASE_FIXTURE(ActionFixture, "one that never left is sent elsewhere") {
   ForwardRun R = action();
   R.begin(Shared, Now);
   RunOutput Out =
-      R.replied(Shared, 0, ended(SendEnd::NotSent), Now + Millis(1));
+      R.replied(Shared, 0, ended(SendStatus::NotSent), Now + Millis(1));
   CHECK(Out.Start.size() == 1);
 }
 
@@ -66,11 +66,11 @@
                   "when every replica rejected it, it has not run") {
   ForwardRun R = action();
   R.begin(Shared, Now);
-  R.replied(Shared, 0, ended(SendEnd::Rejected), Now + Millis(2));
-  R.replied(Shared, 1, ended(SendEnd::Rejected), Now + Millis(4));
+  R.replied(Shared, 0, ended(SendStatus::Rejected), Now + Millis(2));
+  R.replied(Shared, 1, ended(SendStatus::Rejected), Now + Millis(4));
   RunOutput Out;
   for (unsigned Send = 2; Send < 6 && !R.answered(); ++Send)
-    Out = R.replied(Shared, Send, ended(SendEnd::Rejected), Now + Millis(6));
+    Out = R.replied(Shared, Send, ended(SendStatus::Rejected), Now + Millis(6));
   CHECK(provesNotRun(own(Out).Code));
   CHECK(own(Out).RetryAfter > Duration(0));
 }
@@ -89,5 +89,5 @@
   RunOutput Out = R.replied(Shared, 0, answered("no", 500), Now + Millis(5));
   CHECK(Out.Start.empty());
   REQUIRE(Out.Answer);
-  CHECK(std::get<PassedAnswer>(*Out.Answer).Reply.Status == 500);
+  CHECK(std::get<RelayedAnswer>(*Out.Answer).Reply.Status == 500);
 }
--- a/tests/failure/ColdReplicasInAFleet.cpp
+++ b/tests/failure/ColdReplicasInAFleet.cpp
@@ -86,7 +86,7 @@
         if (!To)
           continue;
         To->sendStarted(Now);
-        To->sendEnded(Now, SendEnd::Answered, C.Work, Now);
+        To->sendEnded(Now, SendStatus::Answered, C.Work, Now);
         std::deque<Instant> &Window = Sends[To->entry().Id];
         Window.push_back(Now);
         while (Window.front() <= Now - Seconds(1))
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -29,13 +29,13 @@
     return F;
   }
   static SendResult crashed() {
-    SendResult S = ended(SendEnd::Lost);
+    SendResult S = ended(SendStatus::Lost);
     S.ReplicaCrashed = true;
     return S;
   }
   ForwardRun careful(const Route &R, Caution Care, unsigned Before) {
     ForwardRun Run = run(R);
-    Run.beCareful(Care, Before);
+    Run.setCaution(Care, Before);
     return Run;
   }
   RunOutput reply(ForwardRun &R, unsigned Send, SendResult Result) {
@@ -57,7 +57,7 @@
     else
       CHECK(own(Out).Code == ResultCode::ReplicasCrashed);
   }
-  CHECK(R.story().Crashed == 4);
+  CHECK(R.stats().Crashed == 4);
 }
 
 TEST_CASE_FIXTURE(CrashFixture, "the last open send may still end well") {
@@ -89,8 +89,8 @@
   R.begin(Shared, Now);
   reply(R, 0, crashed());
   reply(R, 1, crashed());
-  reply(R, 2, ended(SendEnd::Rejected));
-  RunOutput Out = reply(R, 3, ended(SendEnd::Rejected));
+  reply(R, 2, ended(SendStatus::Rejected));
+  RunOutput Out = reply(R, 3, ended(SendStatus::Rejected));
   CHECK(Out.Start.size() == 1); // One, and nothing beside it.
   Out = reply(R, 4, answered());
   CHECK(Out.Start.size() == 3);
@@ -122,13 +122,13 @@
     CHECK(own(Out).RetryAfter == Duration(0));
   }
   SUBCASE("a full replica proves nothing, and that nothing ran") {
-    RunOutput Out = reply(R, 0, ended(SendEnd::Rejected));
+    RunOutput Out = reply(R, 0, ended(SendStatus::Rejected));
     CHECK(Out.Start.empty());
     CHECK(own(Out).Code == ResultCode::UpstreamShed);
     CHECK(own(Out).RetryAfter > Duration(0));
   }
   SUBCASE("a lost reply is not sent for again") {
-    RunOutput Out = reply(R, 0, ended(SendEnd::Lost));
+    RunOutput Out = reply(R, 0, ended(SendStatus::Lost));
     CHECK(Out.Start.empty());
     REQUIRE(Out.Answer);
   }
@@ -144,7 +144,7 @@
   REQUIRE(Out.Start.size() == 1);
   CHECK(tickUntil(R, Now + Millis(100)).Start.empty());
   Out = reply(R, 1, answered());
-  CHECK(std::holds_alternative<PassedAnswer>(*Out.Answer));
+  CHECK(std::holds_alternative<RelayedAnswer>(*Out.Answer));
 }
 
 TEST_CASE_FIXTURE(CrashFixture,
@@ -170,7 +170,7 @@
   R.begin(Shared, Now);
   RunOutput Out = tickUntil(R, Now + Millis(30));
   // Whatever there is room for, it is one send at most, and it ends.
-  CHECK(R.story().Sends <= 1);
+  CHECK(R.stats().Sends <= 1);
   tickUntil(R, Now + Seconds(1));
   CHECK(R.answered());
 }
--- a/tests/failure/DeadReplicasRest.cpp
+++ b/tests/failure/DeadReplicasRest.cpp
@@ -26,7 +26,7 @@
             Now};
   Duration Work = Millis(10);
 
-  void send(SendEnd How, Duration Took) {
+  void send(SendStatus How, Duration Took) {
     Instant Started = Now;
     R.sendStarted(Now);
     Now += Took;
@@ -37,7 +37,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(ReplicaFixture, "a refused connection sends it to rest") {
-  send(SendEnd::NotSent, Millis(1));
+  send(SendStatus::NotSent, Millis(1));
   CHECK(R.ejected());
   CHECK_FALSE(R.takeProbe(Now));
   Now += Millis(250);
@@ -49,7 +49,7 @@
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "rests grow while trials fail, up to a bound") {
-  send(SendEnd::NotSent, Millis(1));
+  send(SendStatus::NotSent, Millis(1));
   Duration Longest{};
   for (int I = 0; I < 8; ++I) {
     Instant From = Now;
@@ -63,25 +63,25 @@
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture, "losses in a row do, one alone does not") {
-  send(SendEnd::Lost, Millis(5));
-  send(SendEnd::Answered, Millis(10));
-  send(SendEnd::Lost, Millis(5));
-  send(SendEnd::Lost, Millis(5));
+  send(SendStatus::Lost, Millis(5));
+  send(SendStatus::Answered, Millis(10));
+  send(SendStatus::Lost, Millis(5));
+  send(SendStatus::Lost, Millis(5));
   CHECK_FALSE(R.ejected());
-  send(SendEnd::Lost, Millis(5));
+  send(SendStatus::Lost, Millis(5));
   CHECK(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "sends that outlast every pause count as lost") {
   for (int I = 0; I < 3; ++I)
-    send(SendEnd::Abandoned, Millis(400));
+    send(SendStatus::Abandoned, Millis(400));
   CHECK(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture, "sends abandoned within a pause do not") {
   for (int I = 0; I < 9; ++I)
-    send(SendEnd::Abandoned, Millis(150));
+    send(SendStatus::Abandoned, Millis(150));
   CHECK_FALSE(R.ejected());
 }
 
@@ -94,7 +94,7 @@
   CHECK(R.stalled(Work, Now));
   CHECK(R.predicted(Work, Now) > Usual + Millis(100));
   Now += Millis(90);
-  R.sendEnded(Started, SendEnd::Answered, Work, Now);
+  R.sendEnded(Started, SendStatus::Answered, Work, Now);
   CHECK_FALSE(R.stalled(Work, Now));
   // One late answer is forgotten within seconds.
   CHECK(R.predicted(Work, Now + Seconds(5)) < Usual + Millis(10));
@@ -103,6 +103,6 @@
 TEST_CASE_FIXTURE(ReplicaFixture, "quick failures do not make it look quick") {
   Duration Usual = R.predicted(Work, Now);
   for (int I = 0; I < 10; ++I)
-    send(SendEnd::Rejected, Millis(1));
+    send(SendStatus::Rejected, Millis(1));
   CHECK(R.predicted(Work, Now) > Usual + Millis(50));
 }
--- a/tests/failure/HedgesDecideAnswers.cpp
+++ b/tests/failure/HedgesDecideAnswers.cpp
@@ -10,7 +10,7 @@
 struct PressedFixture : ForwardFixture {
   PressedFixture() {
     Shared.Rules.Retries.Constant = 100;
-    Shared.Pressed = true;
+    Shared.RequestsQueued = true;
     for (const char *S : {"a", "b", "c", "d"})
       for (const char *Zone : {"here", "there"})
         add(std::string(S) + "-" + Zone, S, Zone);
--- a/tests/failure/OverloadIsTurnedAway.cpp
+++ b/tests/failure/OverloadIsTurnedAway.cpp
@@ -154,17 +154,17 @@
   add("b-1", "b", "here");
   ForwardRun R = run(search());
   CHECK(R.begin(Shared, Now).Start.size() == 2);
-  CHECK_FALSE(R.makesRoom());
+  CHECK_FALSE(R.freesAdmission());
   RunOutput Out = R.replied(Shared, 0, answered(), Now + Millis(5));
   CHECK_FALSE(Out.Answer);
-  CHECK(R.makesRoom());
+  CHECK(R.freesAdmission());
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "a replica that sheds whatever waits is sick, not full") {
   add("b-1", "b", "here");
   auto Shed = [&](unsigned Waiting) {
-    SendResult S = ended(SendEnd::Rejected);
+    SendResult S = ended(SendStatus::Rejected);
     S.Load = ReportedLoad{2, Waiting, 2};
     Route Once = check();
     Once.MaxAttempts = 1;
--- a/tests/failure/PartsAreMissing.cpp
+++ b/tests/failure/PartsAreMissing.cpp
@@ -97,9 +97,9 @@
   R.begin(Shared, Now);
   RunOutput Out;
   // Both replicas that may run it lose the reply.
-  Out = R.replied(Shared, 3, ended(SendEnd::Lost), Now + Millis(3));
+  Out = R.replied(Shared, 3, ended(SendStatus::Lost), Now + Millis(3));
   REQUIRE(Out.Start.size() == 1);
-  Out = R.replied(Shared, 4, ended(SendEnd::Lost), Now + Millis(30));
+  Out = R.replied(Shared, 4, ended(SendStatus::Lost), Now + Millis(30));
   CHECK(own(Out).Code == ResultCode::ConnectionClosed);
 }
 
@@ -205,7 +205,8 @@
     Work.of("r", Millis(120)).observe(Millis(100));
   ForwardRun R = run(route(ServiceName("a")), Millis(120));
   REQUIRE(R.begin(Shared, Now).Start.size() == 1);
-  RunOutput Out = R.replied(Shared, 0, ended(SendEnd::Lost), Now + Millis(70));
+  RunOutput Out =
+      R.replied(Shared, 0, ended(SendStatus::Lost), Now + Millis(70));
   CHECK(Out.Start.empty());
   REQUIRE(Out.Answer);
   CHECK_FALSE(provesNotRun(own(Out).Code));
@@ -227,7 +228,7 @@
   CHECK(R.begin(Shared, Now).Start.size() == 3);
   answerThree(R);
   CHECK_FALSE(tickUntil(R, Began + Millis(50)).Answer);
-  Held.front().first->sendEnded(Held.front().second, SendEnd::Answered,
+  Held.front().first->sendEnded(Held.front().second, SendStatus::Answered,
                                 Millis(10), Now);
   RunOutput Out = tickUntil(R, Began + Millis(60));
   REQUIRE(Out.Start.size() == 1);
--- a/tests/failure/RegionsBindEverySend.cpp
+++ b/tests/failure/RegionsBindEverySend.cpp
@@ -28,7 +28,7 @@
   RunOutput First = R.begin(Shared, Now);
   REQUIRE(First.Start.size() == 1);
   CHECK(First.Start[0].To->entry().Id == UpstreamId("a1"));
-  RunOutput Next = R.replied(Shared, 0, ended(SendEnd::Rejected), Now);
+  RunOutput Next = R.replied(Shared, 0, ended(SendStatus::Rejected), Now);
   for (const StartSend &S : Next.Start)
     CHECK(S.To->entry().Id == UpstreamId("a1"));
 }
@@ -47,7 +47,7 @@
   add("a2", "a", "abroad");
   ForwardRun R = run(route(ServiceName("a")));
   R.begin(Shared, Now);
-  R.restrictTo(only({Region("here")}));
+  R.restrictRegions(only({Region("here")}));
   CHECK(tickUntil(R, Now + Millis(700)).Start.empty());
 }
 
--- a/tests/failure/ReplicasStartAgain.cpp
+++ b/tests/failure/ReplicasStartAgain.cpp
@@ -38,7 +38,7 @@
   void loseThree(const ReplicaPtr &R) {
     for (int I = 0; I < 3; ++I) {
       R->sendStarted(Now);
-      R->sendEnded(Now, SendEnd::Lost, Millis(10), Now);
+      R->sendEnded(Now, SendStatus::Lost, Millis(10), Now);
     }
   }
 };
@@ -59,7 +59,7 @@
   CHECK(New->predicted(Millis(10), Now) < Millis(12));
   CHECK(New->connectionsValidFrom() == Now);
   // The end of a send to the old process does not count against the new one.
-  Old->sendEnded(Now, SendEnd::Lost, Millis(10), Now);
+  Old->sendEnded(Now, SendStatus::Lost, Millis(10), Now);
   CHECK_FALSE(New->ejected());
 }
 
@@ -166,11 +166,11 @@
   REQUIRE(Out.Start.size() == 1);
   Replicas.put(entry(After), Now);
   SendResult Lost;
-  Lost.How = SendEnd::Lost;
+  Lost.How = SendStatus::Lost;
   Out = Run.replied(Shared, 0, Lost, Now);
   CHECK(Out.Start.empty());
   REQUIRE(Out.Answer);
-  CHECK(std::get<OwnAnswer>(*Out.Answer).Code == ResultCode::OutcomeUnknown);
+  CHECK(std::get<LocalAnswer>(*Out.Answer).Code == ResultCode::OutcomeUnknown);
 }
 
 TEST_CASE("the table forgets what was removed a minute ago, not before") {
--- a/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
+++ b/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
@@ -64,6 +64,6 @@
   while (B.trySpend(A, 1.0 / 6, Now))
     ++Taken;
   CHECK(Taken == 7); // 0.85 of 52 over 6.
-  CHECK(B.freePart(A, 1.0 / 6, Now) < 0.1);
-  CHECK(B.freePart(A, 1.0 / 6, Now + Seconds(11)) == 1);
+  CHECK(B.freeFraction(A, 1.0 / 6, Now) < 0.1);
+  CHECK(B.freeFraction(A, 1.0 / 6, Now + Seconds(11)) == 1);
 }
--- a/tests/fuzz/MessageTargets.cpp
+++ b/tests/fuzz/MessageTargets.cpp
@@ -105,9 +105,9 @@
   SendResult Result = readReply(Names, Reply, true);
   bool SaysNotRun =
       M.Status == 421 || !headerValue(M.Headers, Names.NotRun).empty();
-  require(Result.How != SendEnd::Rejected || SaysNotRun,
+  require(Result.How != SendStatus::Rejected || SaysNotRun,
           "only a replica that says so has not run it");
-  require(Result.How != SendEnd::NotSent, "what was answered was sent");
+  require(Result.How != SendStatus::NotSent, "what was answered was sent");
   if (Result.Load)
     require(Result.Load->Slots > 0, "a replica has a slot");
 }
