--- a/packages/forward/RecordMerge.h
+++ b/packages/forward/RecordMerge.h
@@ -1,8 +1,8 @@
-//===- RecordMerge.h - The greatest records of several parts ----*- C++ -*-===//
+//===- RecordMerge.h - Merging of the shards' records -----------*- C++ -*-===//
 //
-// A shard answers with records of RecordBytes in no order; an answer holds the
-// greatest of all of them, falling, compared byte by byte. Equal records all
-// count. What is left over at the end of a part is no record.
+// A shard replies with records of RecordBytes each, in no order. An answer
+// holds the greatest of them in descending order, compared byte by byte.
+// Duplicates are kept. Trailing bytes that are no whole record are ignored.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_RECORDMERGE_H
@@ -17,9 +17,9 @@
 
 inline constexpr std::size_t RecordBytes = 16;
 
-/// The greatest \p Most records of \p Parts, one after the other.
+/// Returns the \p Max greatest records of \p Parts, concatenated.
 std::string greatestRecords(const std::vector<std::string_view> &Parts,
-                            std::size_t Most);
+                            std::size_t Max);
 
 } // namespace shallot
 
--- a/packages/forward/RetryBudget.cpp
+++ b/packages/forward/RetryBudget.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-double allowed(const RetryAllowance &A, double Requests, double Part) {
-  return UsedPartOfAllowance * (A.Ratio * Requests + A.Constant * Part);
+double allowed(const RetryAllowance &A, double Requests, double ConstantShare) {
+  return UsedFraction * (A.Ratio * Requests + A.Constant * ConstantShare);
 }
 
 } // namespace
@@ -32,8 +32,8 @@
     if (S.Number < First || S.Number > Number)
       continue;
     Out.Extra += S.Extra;
-    // The oldest slice lies partly outside of the window: its extra sends
-    // count whole and its requests not at all, which errs on the safe side.
+    // The oldest slice is partly outside the window. Its further sends count
+    // fully and its requests not at all, which errs on the safe side.
     if (S.Number != First)
       Out.Requests += S.Requests;
   }
@@ -44,18 +44,19 @@
   ++slice(A, Now).Requests;
 }
 
-bool RetryBudget::trySpend(const RetryAllowance &A, double Part, Instant Now) {
+bool RetryBudget::trySpend(const RetryAllowance &A, double ConstantShare,
+                           Instant Now) {
   Sums S = sums(A, Now);
-  if (S.Extra + 1 > allowed(A, S.Requests, Part))
+  if (S.Extra + 1 > allowed(A, S.Requests, ConstantShare))
     return false;
   ++slice(A, Now).Extra;
   return true;
 }
 
-double RetryBudget::freeFraction(const RetryAllowance &A, double Part,
+double RetryBudget::freeFraction(const RetryAllowance &A, double ConstantShare,
                                  Instant Now) const {
   Sums S = sums(A, Now);
-  double Room = allowed(A, S.Requests, Part);
+  double Room = allowed(A, S.Requests, ConstantShare);
   return Room <= 0 ? 0 : std::clamp(1 - S.Extra / Room, 0.0, 1.0);
 }
 
--- a/packages/forward/RetryBudget.h
+++ b/packages/forward/RetryBudget.h
@@ -1,14 +1,14 @@
-//===- RetryBudget.h - Extra sends, bounded in every window -----*- C++ -*-===//
+//===- RetryBudget.h - Budget for retries and hedges ------------*- C++ -*-===//
 //
-// A second send of a request is extra load at the moment when there is too much
-// of it. In any span of Window, the sends of all daemons beyond the first ones
-// may be a given part of the requests plus a constant. There is no coordinator:
-// every daemon keeps to that part of its own requests and to its part of the
-// constant (Sharing::RetryShare), and the sum then keeps the bound.
+// A further send of a request adds load when there is already too much. In any
+// interval of length Window, the further sends of all daemons may be at most a
+// fraction of the requests plus a constant. There is no coordinator: every
+// daemon limits itself to that fraction of its own requests and to its share of
+// the constant (FleetShare::RetryShare), and the sum stays within the bound.
 //
-// Why a window and not a bucket of tokens: a full bucket pays for a storm that
-// the seconds before it did not earn, and the sum over one window then breaks
-// the bound although each bucket is right.
+// A window is used instead of a token bucket: a full bucket would pay for a
+// burst that the preceding seconds did not earn, and the sum over one window
+// would exceed the bound although each bucket is within its own.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_RETRYBUDGET_H
@@ -21,9 +21,9 @@
 
 namespace shallot {
 
-/// What the operator allows one service to get beyond first sends.
+/// What the operator allows for one service beyond first sends.
 struct RetryAllowance {
-  double Ratio = 0.2;   ///< Of the requests.
+  double Ratio = 0.2;   ///< Fraction of the requests.
   double Constant = 10; ///< For all daemons together.
   Duration Window = Seconds(10);
 
@@ -31,29 +31,31 @@
                          const RetryAllowance &) = default;
 };
 
-/// The part of the allowance that is used. The rest covers sends that are
-/// counted at their arrival, a little after ours, and requests that clients
-/// sent to a daemon that never read them.
-inline constexpr double UsedPartOfAllowance = 0.85;
+/// The fraction of the allowance that is used. The rest covers sends that are
+/// counted on arrival, slightly later than here, and requests that clients sent
+/// to a daemon that never read them.
+inline constexpr double UsedFraction = 0.85;
 
-/// One service's extra sends from this daemon.
+/// The further sends of this daemon for one service.
 class RetryBudget {
 public:
-  /// A request for the service came in.
+  /// Counts a request for the service.
   void request(const RetryAllowance &A, Instant Now);
-  /// Takes one extra send if there is room for it when \p Part of the constant
-  /// is this daemon's.
-  bool trySpend(const RetryAllowance &A, double Part, Instant Now);
-  /// Part of the window's room that is still free, from 0 to 1.
-  double freeFraction(const RetryAllowance &A, double Part, Instant Now) const;
+  /// Takes one further send from the budget if it has room. \p ConstantShare is
+  /// this daemon's share of the constant.
+  bool trySpend(const RetryAllowance &A, double ConstantShare, Instant Now);
+  /// The unused fraction of the budget in this window, from 0 to 1.
+  double freeFraction(const RetryAllowance &A, double ConstantShare,
+                      Instant Now) const;
 
 private:
   static constexpr std::size_t SlicesPerWindow = 20;
-  /// One more than a window, so that the running slice never cuts it short.
+  /// One more than a window has, so that the current slice never shortens the
+  /// window.
   static constexpr std::size_t Slices = SlicesPerWindow + 1;
 
   struct Slice {
-    std::int64_t Number = -1; ///< Since the clock's start.
+    std::int64_t Number = -1; ///< Since the epoch of the clock.
     std::uint32_t Requests = 0;
     std::uint32_t Extra = 0;
   };
--- a/packages/forward/Route.h
+++ b/packages/forward/Route.h
@@ -1,15 +1,15 @@
 //===- Route.h - Routes of requests to services -----------------*- C++ -*-===//
 //
-// A serving configuration is a list of routes and of the services behind them,
-// under one version. A route is chosen by the host that a caller names and the
-// longest path prefix; it sends a request to one replica of a service, to one
-// of several services by weight, or to one replica of every shard of an index.
+// A serving configuration is a versioned list of routes and of the services
+// behind them. A request is matched to a route by its host and the longest path
+// prefix. A route sends a request to one replica of a service, to one of
+// several services by weight, or to one replica of every shard of an index.
 //
 //   Route R = ...; // host "search.example", prefix "/lanes/"
 //   Config.match("search.example", "/lanes/today") == &R
 //
-// A ServingConfig never changes: a request keeps the one that it began with,
-// so all parts of an answer come from the shards of one version.
+// A ServingConfig is immutable. A request keeps the one that it began with, so
+// all parts of an answer come from the shards of one version.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_ROUTE_H
@@ -26,10 +26,10 @@
 
 namespace shallot {
 
-/// What may be done again without harm.
+/// Whether a request may be sent again.
 enum class RetrySemantics : std::uint8_t {
   Idempotent, ///< May run more than once.
-  AtMostOnce, ///< Is sent again only when it is proven not to have run.
+  AtMostOnce, ///< Retried only if it is proven not to have run.
 };
 
 /// One service of a weighted split.
@@ -43,11 +43,12 @@
 
 using WeightedSplit = std::vector<WeightedService>;
 
-/// Sent to every shard; the greatest records of the answers are merged.
+/// Sends to every shard and merges the greatest records of their replies.
 struct ShardFanOut {
   std::vector<ServiceName> Shards;
-  std::size_t MaxRecords = 0; ///< Records in a merged answer.
-  double MinCoverage = 1;     ///< Of the shards, in a success.
+  std::size_t MaxRecords = 0; ///< Maximum number of records in a merged answer.
+  /// Minimum fraction of the shards in a successful answer.
+  double MinCoverage = 1;
 
   friend bool operator==(const ShardFanOut &, const ShardFanOut &) = default;
 };
@@ -59,17 +60,17 @@
   std::string Host;
   std::string PathPrefix; ///< Begins and ends with a slash.
   RetrySemantics Kind = RetrySemantics::AtMostOnce;
-  Duration Timeout{};       ///< The longest that a caller is kept waiting.
-  Duration Objective{};     ///< Within it an answer is worth most.
-  unsigned Priority = 0;    ///< 0 is the most urgent.
-  unsigned MaxAttempts = 1; ///< Replicas of one service that may run it.
+  Duration Timeout{};    ///< The longest that a caller waits for an answer.
+  Duration Objective{};  ///< Latency objective; later answers are worth less.
+  unsigned Priority = 0; ///< 0 is the most urgent.
+  unsigned MaxAttempts = 1; ///< How many replicas of one service may run it.
   RouteTarget Target;
-  /// Where replicas may run it. After ServingConfig::make() what its tenant
-  /// allows is taken into account.
+  /// Regions whose replicas may run requests of this route.
+  /// ServingConfig::make() intersects them with those of the route's tenant.
   AllowedRegions Regions = AllowedRegions::anywhere();
   std::optional<Tenant> Owner;
 
-  /// The fan-out, or null when the route has another target.
+  /// The fan-out, or null if the route has another target.
   const ShardFanOut *fanOut() const {
     return std::get_if<ShardFanOut>(&Target);
   }
@@ -79,15 +80,15 @@
 
 struct ServiceInfo {
   ServiceName Name;
-  unsigned MaxConnections = 1; ///< That one replica takes from all daemons.
-  /// Requests a second that a cold replica tolerates from all daemons; 0: no
-  /// limit is known.
+  unsigned MaxConnections = 1; ///< Limit of one replica, over all daemons.
+  /// Requests per second that a cold replica tolerates from all daemons; 0 if
+  /// no limit is known.
   double WarmupRate = 0;
 
   friend bool operator==(const ServiceInfo &, const ServiceInfo &) = default;
 };
 
-/// Where the requests of a tenant may be served.
+/// The regions that may serve the requests of a tenant.
 struct TenantRegions {
   Tenant Name;
   AllowedRegions Regions = AllowedRegions::anywhere();
@@ -96,7 +97,7 @@
                          const TenantRegions &) = default;
 };
 
-/// What a caller may send, and how long it may take or stay idle.
+/// Limits on the size and the duration of callers' requests.
 struct CallerLimits {
   std::size_t MaxHeaderBytes = 16 << 10;
   std::size_t MaxBodyBytes = 1 << 20;
@@ -108,10 +109,10 @@
 
 class ServingConfig {
 public:
-  /// Checks every route: a host, a prefix between slashes, times above zero,
-  /// at least one attempt, services that are listed. Fails with ConfigInvalid,
-  /// naming the route. Restricts each route to what its tenant allows; tenants
-  /// that are not in \p Tenants restrict nothing.
+  /// Validates every route: a host, a prefix that begins and ends with a slash,
+  /// times above zero, at least one attempt, services that are listed. Fails
+  /// with ConfigInvalid, naming the route. Restricts each route to the regions
+  /// of its tenant; tenants that are not in \p Tenants restrict nothing.
   static Result<ServingConfig>
   make(std::uint64_t Version, std::vector<Route> Routes,
        std::vector<ServiceInfo> Services, CallerLimits Limits,
@@ -124,12 +125,12 @@
   }
   const CallerLimits &limits() const { return Limits; }
 
-  /// The route with the longest prefix of \p Path among those of \p Host;
-  /// null when there is none. \p Path has no query.
+  /// The route with the longest prefix of \p Path among those of \p Host, or
+  /// null if there is none. \p Path has no query.
   const Route *match(std::string_view Host, std::string_view Path) const;
 
-  /// Where all routes of \p Host may be served; where any of them may, when no
-  /// region suits all.
+  /// The regions that may serve all routes of \p Host or, if there is none,
+  /// those that may serve any of its routes.
   AllowedRegions regionsOf(std::string_view Host) const;
 
   friend bool operator==(const ServingConfig &,
@@ -139,13 +140,14 @@
   ServingConfig() = default;
 
   std::uint64_t Version = 0;
-  std::vector<Route> Routes; ///< By host, then the longest prefix first.
+  /// Sorted by host, then by prefix length, longest first.
+  std::vector<Route> Routes;
   std::map<ServiceName, ServiceInfo> Services;
   CallerLimits Limits;
 };
 
-/// The service that a request of \p Split goes to, where \p Draw is uniform in
-/// [0, 1): each gets its weight's share.
+/// Selects a service of \p Split in proportion to the weights. \p Draw is
+/// uniform in [0, 1).
 const ServiceName &drawService(const WeightedSplit &Split, double Draw);
 
 } // namespace shallot
--- a/packages/forward/RouteAdmission.cpp
+++ b/packages/forward/RouteAdmission.cpp
@@ -10,39 +10,40 @@
 
 namespace {
 
-/// A request waits for its turn for this part of its objective at most. Who is
-/// refused by then can still come back in time; who has waited longer and then
-/// starts has too little left for a hedge.
-constexpr double QueueWaitPart = 0.2;
-/// More wait in vain: at a hundred starts a second this many take longer than
-/// any route's wait.
-constexpr unsigned MostWaiting = 64;
-/// The part of the objective that sends may queue at replicas on average: with
-/// more answers are late, with less slots are idle.
-constexpr double QueuedPart = 0.12;
+/// How long a request may wait for admission, as a fraction of its latency
+/// objective. A caller refused by then can still retry in time; a request that
+/// starts later has too little time left for a hedge.
+constexpr double QueueWaitFraction = 0.2;
+/// Queue limit: at a hundred starts per second, more requests than this cannot
+/// start within any route's wait.
+constexpr unsigned MaxWaiting = 64;
+/// The target queueing delay at replicas, as a fraction of the latency
+/// objective: with more, answers are late; with less, slots are idle.
+constexpr double QueuedFraction = 0.12;
 
 ConcurrencyLimitOptions limitOptions() {
   ConcurrencyLimitOptions O;
-  // While replies are late the limit grows to what they need; when an overload
+  // While replies are late the limit grows to what they need. When an overload
   // follows, steps of a tenth would take four seconds to come down from there.
   O.Decrease = 0.8;
-  // One query in ten that full replicas made fail; fewer are bad luck.
+  // Overload is one query in ten that fails because of full replicas; fewer are
+  // chance.
   O.TargetOverloaded = 0.1;
   return O;
 }
 
-Duration part(Duration Whole, double Part) {
-  return fromMillisF(toMillisF(Whole) * Part);
+Duration scaled(Duration Whole, double Factor) {
+  return fromMillisF(toMillisF(Whole) * Factor);
 }
 
-/// Routes of the same rank and objective wait in one queue, so that a thousand
-/// routes are a handful of classes.
+/// Routes of the same priority and objective share a queue, so that a thousand
+/// routes need a handful of classes.
 CallerClass classOf(const Route &R) {
   return CallerClass(fmt::format("p{}-{}", R.Priority, toMillis(R.Objective)));
 }
 
-/// The number of the group of each route: routes with a service in common are
-/// in the same.
+/// Computes the group of each route: routes that have a service in common are
+/// in the same group.
 class Components {
 public:
   explicit Components(const std::vector<Route> &Routes)
@@ -80,8 +81,8 @@
   for (const Route *R : Routes) {
     ClassPolicy &C = Policies[classOf(*R)];
     C.Priority = R->Priority;
-    C.QueueWait = part(R->Objective, QueueWaitPart);
-    C.QueueLimit = MostWaiting;
+    C.QueueWait = scaled(R->Objective, QueueWaitFraction);
+    C.QueueLimit = MaxWaiting;
   }
   return Policies;
 }
@@ -90,7 +91,7 @@
   Duration Shortest = Duration::max();
   for (const Route *R : Routes)
     Shortest = std::min(Shortest, R->Objective);
-  return part(Shortest, QueuedPart);
+  return scaled(Shortest, QueuedFraction);
 }
 
 } // namespace
@@ -103,7 +104,7 @@
   auto Before = std::exchange(ByRoute, {});
   auto GroupsBefore = std::exchange(Groups, {});
   for (const auto &[Number, Routes] : Members) {
-    GroupPtr G = keptGroup(Before, Routes);
+    GroupPtr G = existingGroup(Before, Routes);
     if (G)
       G->setClasses(policiesOf(Routes), targetQueued(Routes));
     else
@@ -118,10 +119,10 @@
       Groups.push_back(G);
 }
 
-/// The group that one of \p Routes was in, unless it goes on for others.
+/// The previous group of one of \p Routes, unless it is in use for others.
 RouteAdmission::GroupPtr
-RouteAdmission::keptGroup(const GroupMap &Before,
-                          const std::vector<const Route *> &Routes) const {
+RouteAdmission::existingGroup(const GroupMap &Before,
+                              const std::vector<const Route *> &Routes) const {
   for (const Route *R : Routes) {
     auto At = Before.find(R->Name);
     if (At != Before.end() &&
@@ -134,10 +135,10 @@
 AdmissionDecision RouteAdmission::offer(const Route &R, TicketId Id,
                                         Instant Deadline, Instant Now) {
   const GroupPtr &G = ByRoute.at(R.Name);
-  AdmissionDecision V = G->offer({Id, classOf(R), Deadline}, Now);
-  if (V.What != AdmissionAction::Refuse)
+  AdmissionDecision Decision = G->offer({Id, classOf(R), Deadline}, Now);
+  if (Decision.What != AdmissionAction::Refuse)
     Tickets.emplace(Id, G);
-  return V;
+  return Decision;
 }
 
 void RouteAdmission::done(TicketId Id, const LoadSample &S, Instant Now) {
@@ -166,8 +167,8 @@
     if (E.Final.What != AdmissionAction::Refuse)
       continue;
     Tickets.erase(E.Id);
-    // Its class went with a configuration; the caller's route may well be
-    // there.
+    // Its class was removed by a new configuration, but the caller's route may
+    // still exist.
     if (E.Final.Code == ResultCode::UnknownClass)
       E.Final.Code = ResultCode::Overloaded;
   }
--- a/packages/forward/RttEstimate.cpp
+++ b/packages/forward/RttEstimate.cpp
@@ -7,23 +7,24 @@
 
 namespace {
 
-/// How far a longer trip moves the estimate: paths change by steps and rarely,
-/// and of ten connections that open late nine met a busy host.
+/// How far a longer connect time moves the estimate: network paths change
+/// rarely and in steps, and of ten connections that open late, nine met a busy
+/// host.
 constexpr double UpStep = 0.05;
-/// A path that became this much longer has changed.
-constexpr double MostAtOnce = 2;
+/// Increases by more than this factor are treated as this factor.
+constexpr double MaxRatio = 2;
 
 } // namespace
 
 void RttEstimate::opened(Duration Took) {
-  if (!Seen || Took < Value) {
+  if (!Observed || Took < Value) {
     Value = Took;
-    Seen = true;
+    Observed = true;
     return;
   }
   double Ms = toMillisF(Value);
-  double Longer = std::min(toMillisF(Took), Ms * MostAtOnce) - Ms;
-  Value = fromMillisF(Ms + UpStep * Longer);
+  double Increase = std::min(toMillisF(Took), Ms * MaxRatio) - Ms;
+  Value = fromMillisF(Ms + UpStep * Increase);
 }
 
 void RttEstimate::replied(Duration Took) {
--- a/packages/forward/RttEstimate.h
+++ b/packages/forward/RttEstimate.h
@@ -1,12 +1,14 @@
-//===- RttEstimate.h - Observed round-trip times ----------------*- C++ -*-===//
+//===- RttEstimate.h - Estimated round-trip time ----------------*- C++ -*-===//
 //
-// The RTT to the replicas of one availability zone: the time that a new
-// connection takes to open; no reply arrives sooner. Congestion and busy hosts
-// only add to it, so the estimate falls at once and rises slowly.
+// Estimates the RTT to the replicas of one availability zone from the time that
+// a new connection takes to open. No reply arrives sooner than that. Congestion
+// and busy hosts only add to it, so the estimate falls at once and rises
+// slowly.
 //
-// The load that this answers: regions further apart than others. A reply after
-// 90 ms that is judged by an RTT of 17 ms looks ten times too slow, its replica
-// is avoided, and a hedge to another far one is sent too late.
+// The estimate is learned because regions may be further apart than assumed. If
+// a reply after 90 ms is judged by an RTT of 17 ms, it looks ten times too
+// slow, its replica is avoided, and a hedge to another remote replica is sent
+// too late.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_RTTESTIMATE_H
@@ -18,19 +20,19 @@
 
 class RttEstimate {
 public:
-  /// \p Guess holds until the first observation.
-  explicit RttEstimate(Duration Guess) : Value(Guess) {}
+  /// \p Initial is used until the first observation.
+  explicit RttEstimate(Duration Initial) : Value(Initial) {}
 
   /// A connection took \p Took to open.
   void opened(Duration Took);
-  /// A reply came \p Took after its request left: the RTT is no longer.
+  /// A reply arrived \p Took after its request was sent, which bounds the RTT.
   void replied(Duration Took);
 
   Duration value() const { return Value; }
 
 private:
   Duration Value;
-  bool Seen = false;
+  bool Observed = false;
 };
 
 } // namespace shallot
--- a/packages/forward/WarmupShare.cpp
+++ b/packages/forward/WarmupShare.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// The carrier with the highest hash among those that \p Fits.
+/// The carrier with the highest hash among those that satisfy \p Matches.
 template <typename Predicate>
-const WarmupSender *highest(const WarmupSenders &S, const UpstreamId &Id,
-                            Predicate Fits) {
+const WarmupSender *highestHash(const WarmupSenders &S, const UpstreamId &Id,
+                                Predicate Matches) {
   const WarmupSender *Best = nullptr;
   std::uint64_t BestHash = 0;
   for (const WarmupSender &C : S.Carriers) {
-    if (!Fits(C))
+    if (!Matches(C))
       continue;
     std::uint64_t Hash = hash64(C.Host.str(), hash64(Id.str()));
     if (Best && Hash <= BestHash)
@@ -30,16 +30,16 @@
 bool ownsWarmup(const WarmupSenders &S, const UpstreamId &Id,
                 const Region &Reg) {
   const WarmupSender *Owner =
-      highest(S, Id, [&](const WarmupSender &C) { return C.Reg == Reg; });
+      highestHash(S, Id, [&](const WarmupSender &C) { return C.Reg == Reg; });
   if (!Owner)
-    Owner = highest(S, Id, [](const WarmupSender &) { return true; });
+    Owner = highestHash(S, Id, [](const WarmupSender &) { return true; });
   return Owner && Owner->Host == S.Self;
 }
 
 double warmupRate(double Tolerated, const WarmupBound &Bound) {
-  // Each owner may send one request at once besides its rate.
-  double Most = Tolerated * Bound.Overage + Bound.Slack - MostOwners;
-  return std::clamp(Most / MostOwners, 0.0, Tolerated);
+  // Each owner may send one request at once in addition to its rate.
+  double FleetRate = Tolerated * Bound.Overage + Bound.Slack - MaxOwners;
+  return std::clamp(FleetRate / MaxOwners, 0.0, Tolerated);
 }
 
 Duration warmupReturnDelay(const HostId &Self, const UpstreamId &Id) {
--- a/packages/forward/WarmupShare.h
+++ b/packages/forward/WarmupShare.h
@@ -1,19 +1,20 @@
-//===- WarmupShare.h - Who sends to a cold replica --------------*- C++ -*-===//
+//===- WarmupShare.h - Which daemon sends to a cold replica -----*- C++ -*-===//
 //
-// A replica that has just started tolerates few requests a second from all
-// daemons together and crashes at a rate well above that. The load that this
-// answers: the replicas of a whole availability zone come back at one moment,
-// and every daemon finds them idle.
+// A replica that has just started tolerates a few requests per second from all
+// daemons together and crashes at a rate well above that. Without a limit this
+// happens when the replicas of a whole availability zone return at once and
+// every daemon finds them idle.
 //
-// Each cold replica has one owner, by rendezvous hashing among the daemons that
-// carry callers in its region, or in all regions when none is there. The owner
-// sends at a bounded rate, all others send nothing. There is no coordinator, so
-// daemons that see different members may each take themselves for the owner;
-// the rate is such that MostOwners of them together stay within the bound. A
-// daemon that cannot tell who else sends owns nothing.
+// Each cold replica has one owner, selected by rendezvous hashing among the
+// daemons that carry callers in its region, or in all regions if there is none
+// in its own. The owner sends at a bounded rate; all others send nothing. There
+// is no coordinator, so daemons with different views of the membership may each
+// consider themselves the owner. The rate is chosen so that MaxOwners of them
+// together stay within the bound. A daemon that does not know the other senders
+// owns nothing.
 //
-// An equal share for each daemon would need no owner, but bounds nothing: with
-// more daemons than the bound, one request from each is too much.
+// Equal shares for all daemons would need no owner, but would not bound the
+// total: with more daemons than the bound, one request from each is too much.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_WARMUPSHARE_H
@@ -25,7 +26,7 @@
 
 namespace shallot {
 
-/// The bound of the fleet in any one second: the tolerated rate x Overage +
+/// Bound of the whole fleet in any one second: the tolerated rate x Overage +
 /// Slack.
 struct WarmupBound {
   double Overage = 1;
@@ -44,27 +45,28 @@
 
 struct WarmupSenders {
   HostId Self;
-  std::vector<WarmupSender> Carriers; ///< Empty: it is not known who sends.
+  std::vector<WarmupSender> Carriers; ///< Empty if the senders are not known.
 
   friend bool operator==(const WarmupSenders &,
                          const WarmupSenders &) = default;
 };
 
-/// Daemons that may take themselves for the owner of one replica at a time:
-/// the owner before and after a change of the fleet, and one that was cut off.
-inline constexpr unsigned MostOwners = 3;
+/// How many daemons may consider themselves the owner of one replica at a time:
+/// the owners before and after a membership change, and one that was
+/// partitioned.
+inline constexpr unsigned MaxOwners = 3;
 
 /// Whether S.Self owns the cold replica \p Id in \p Reg.
 bool ownsWarmup(const WarmupSenders &S, const UpstreamId &Id,
                 const Region &Reg);
 
-/// Requests a second that the owner may send to a replica that tolerates
-/// \p Tolerated a second; 0 when the bound has no room for MostOwners.
+/// Requests per second that the owner may send to a replica that tolerates \p
+/// Tolerated per second; 0 if the bound has no room for MaxOwners.
 double warmupRate(double Tolerated, const WarmupBound &Bound);
 
-/// How long after a replica is warm a daemon begins to use it fully: each waits
-/// for another part of WarmupReturnSpread, so that a replica that every daemon
-/// finds idle is not sent to by all at one moment.
+/// How long after the end of the warm-up a daemon starts to use the replica
+/// without limit. The delays of daemons are spread over WarmupReturnSpread,
+/// since all of them would otherwise send to the idle replica at once.
 Duration warmupReturnDelay(const HostId &Self, const UpstreamId &Id);
 inline constexpr Duration WarmupReturnSpread = Millis(800);
 
--- a/packages/forward/WorkEstimate.cpp
+++ b/packages/forward/WorkEstimate.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/// Each answer moves the median by this part of itself towards the answer. The
-/// first ones move it faster, since the guess may be far off.
+/// Each answer moves the median by this fraction of itself towards the answer.
+/// The first ones move it faster, since the initial estimate may be far off.
 constexpr double Step = 0.01;
 constexpr double FirstStep = 0.15;
 constexpr unsigned FirstAnswers = 40;
-constexpr Duration Least = Micros(500);
+constexpr Duration MinEstimate = Micros(500);
 
 } // namespace
 
 void WorkEstimate::observe(Duration Took) {
-  double Part = Seen < FirstAnswers ? FirstStep : Step;
-  Seen = std::min(Seen + 1, FirstAnswers);
+  double StepFraction = Answers < FirstAnswers ? FirstStep : Step;
+  Answers = std::min(Answers + 1, FirstAnswers);
   double Ms = toMillisF(Median);
-  Ms *= Took > Median ? 1 + Part : 1 - Part;
-  Median = std::max(Least, fromMillisF(Ms));
+  Ms *= Took > Median ? 1 + StepFraction : 1 - StepFraction;
+  Median = std::max(MinEstimate, fromMillisF(Ms));
 }
 
 WorkEstimate &WorkEstimates::of(const std::string &RouteName,
@@ -30,7 +30,7 @@
     return At->second;
   if (ByRoute.size() >= MaxRoutes)
     ByRoute.clear();
-  Duration Guess = fromMillisF(toMillisF(Objective) * FirstGuessPart);
+  Duration Guess = fromMillisF(toMillisF(Objective) * InitialFraction);
   return ByRoute.emplace(RouteName, WorkEstimate(Guess)).first->second;
 }
 
--- a/packages/forward/WorkEstimate.h
+++ b/packages/forward/WorkEstimate.h
@@ -1,9 +1,8 @@
-//===- WorkEstimate.h - How long a kind of work usually takes ---*- C++ -*-===//
+//===- WorkEstimate.h - Estimated service time of requests ------*- C++ -*-===//
 //
-// The median time that replicas take for the requests of one route, learned
-// from answers. A median and not a mean: answers of a replica that is ten times
-// too slow must not make ten times too slow look usual, or nothing would be
-// hedged any more.
+// The median service time of the requests of one route at replicas, learned
+// from answers. A mean would be raised by a replica that is ten times too slow,
+// so that its answers would look usual and no longer be hedged.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_WORKESTIMATE_H
@@ -16,20 +15,21 @@
 
 namespace shallot {
 
-/// Taken before the first answer: a tenth of the route's objective.
-inline constexpr double FirstGuessPart = 0.1;
+/// The estimate before the first answer, as a fraction of the route's latency
+/// objective.
+inline constexpr double InitialFraction = 0.1;
 
 class WorkEstimate {
 public:
-  explicit WorkEstimate(Duration FirstGuess) : Median(FirstGuess) {}
+  explicit WorkEstimate(Duration Initial) : Median(Initial) {}
 
-  /// An answer took \p Took without the RTT.
+  /// An answer took \p Took, without the RTT.
   void observe(Duration Took);
   Duration median() const { return Median; }
 
 private:
   Duration Median;
-  unsigned Seen = 0;
+  unsigned Answers = 0;
 };
 
 /// Estimates by route.
@@ -38,7 +38,7 @@
   WorkEstimate &of(const std::string &RouteName, Duration Objective);
 
 private:
-  /// Routes that are remembered; beyond it all estimates start anew.
+  /// Beyond this number of routes all estimates are reset.
   static constexpr std::size_t MaxRoutes = 4096;
 
   std::map<std::string, WorkEstimate> ByRoute;
--- a/packages/forward/include/shallotshift/forward.h
+++ b/packages/forward/include/shallotshift/forward.h
@@ -1,10 +1,15 @@
 //===- shallotshift/forward.h - Forwarding of callers' requests -*- C++ -*-===//
 //
-// The public header of package forward: routes (Route.h), replicas, their
-// incarnations and the choice among them (Replica.h, IncarnationTable.h,
-// ReplicaRegistry.h), who sends to cold ones (WarmupShare.h), what a request
-// may cost (RetryBudget.h, WorkEstimate.h), one request from start to answer
-// (ForwardRun.h) and the merging of parts (RecordMerge.h).
+// The public header of package forward:
+//
+//   Route.h, RouteAdmission.h   routes and admission of requests
+//   Replica.h, IncarnationTable.h, ReplicaRegistry.h
+//                               replicas, their incarnations, replica selection
+//   WarmupShare.h               which daemon sends to a cold replica
+//   RetryBudget.h, WorkEstimate.h
+//                               retry budget and service time estimates
+//   ForwardRun.h                one request from arrival to answer
+//   RecordMerge.h               merging of the shards' records
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_H
