--- a/packages/forward/ConnectionAllowance.cpp
+++ b/packages/forward/ConnectionAllowance.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-/// One connection more in this time at most: from three to twenty in a third of
-/// a second, and daemons that want the same see each other's effect.
-constexpr Duration GrowEvery = Millis(20);
+/// Minimum time between two increases: from three to twenty connections takes a
+/// third of a second, and daemons with the same demand see each other's effect.
+constexpr Duration GrowInterval = Millis(20);
 /// What a reset leaves of the extra connections.
-constexpr double KeptAfterRefusal = 0.5;
-/// No growth for this long after a reset: the others that were too many close
-/// or are put to use in about that time.
-constexpr Duration HoldAfterRefusal = Millis(2000);
-/// Short beside the seconds that a trouble of replicas lasts, long beside a
-/// pause, in which nothing is wanted.
+constexpr double RefusalFactor = 0.5;
+/// No growth for this long after a reset; it takes about this time until the
+/// connections that were too many are closed or used.
+constexpr Duration GrowthHold = Millis(2000);
+/// Short relative to a failure of replicas, which lasts seconds, and long
+/// relative to a pause, during which no connections are requested.
 constexpr double HalfLifeMs = 1500;
 
 } // namespace
 
 double ConnectionAllowance::value(Instant Now) const {
-  return internal::half(Seen, Now - SeenAt, HalfLifeMs);
+  return internal::decayed(LastValue, Now - LastValueAt, HalfLifeMs);
 }
 
 std::size_t ConnectionAllowance::extra(Instant Now) const {
@@ -30,18 +30,18 @@
 }
 
 bool ConnectionAllowance::grow(Instant Now) {
-  if (Now < HeldUntil || Now < GrownAt + GrowEvery)
+  if (Now < HeldUntil || Now < GrownAt + GrowInterval)
     return false;
-  Seen = std::round(value(Now)) + 1;
-  SeenAt = Now;
+  LastValue = std::round(value(Now)) + 1;
+  LastValueAt = Now;
   GrownAt = Now;
   return true;
 }
 
 void ConnectionAllowance::refused(Instant Now) {
-  Seen = value(Now) * KeptAfterRefusal;
-  SeenAt = Now;
-  HeldUntil = Now + HoldAfterRefusal;
+  LastValue = value(Now) * RefusalFactor;
+  LastValueAt = Now;
+  HeldUntil = Now + GrowthHold;
 }
 
 } // namespace shallot
--- a/packages/forward/ConnectionAllowance.h
+++ b/packages/forward/ConnectionAllowance.h
@@ -1,19 +1,19 @@
-//===- ConnectionAllowance.h - Connections beyond one's share ---*- C++ -*-===//
+//===- ConnectionAllowance.h - Connections beyond the share -----*- C++ -*-===//
 //
-// The load that this answers: a daemon's near replicas are slow or dark, and
-// the far ones, idle, must take over. Its share of their connections follows
-// the count of daemons and not the need: three connections with an RTT of 40 ms
-// carry sixty sends a second, and what exceeds that waits.
+// When a daemon's near replicas are slow or unreachable, idle replicas in other
+// regions must take over. The daemon's share of their connections depends on
+// the number of daemons and not on demand: three connections with an RTT of 40
+// ms carry sixty sends per second, and further ones wait.
 //
-// So a daemon that wants more takes more, one after another, and gives way when
-// the replica resets a new connection, which it does above its cap: additive
-// increase, multiplicative decrease, as on a shared link. The unused part of
-// all shares is found that way without messages between daemons. What is not
-// needed any more is given back within seconds.
+// A daemon with more demand therefore opens more connections, one at a time,
+// and backs off when the replica resets a new connection, which it does above
+// its limit: additive increase, multiplicative decrease, as in congestion
+// control. This finds the unused part of all shares without messages between
+// daemons. Connections that are no longer needed are released within seconds.
 //
-// Gossip of what each daemon uses and lacks would take hundreds of milliseconds
-// to spread, and a share that changes hands must rest meanwhile; the load that
-// this answers moves faster.
+// Gossip about the connections that each daemon uses and lacks would take
+// hundreds of milliseconds to spread, and a share that changes owners must stay
+// unused meanwhile. Load shifts faster than that.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_CONNECTIONALLOWANCE_H
@@ -25,10 +25,11 @@
 
 class ConnectionAllowance {
 public:
-  /// Connections beyond the share that may be open now.
+  /// Number of connections beyond the share that may be open now.
   std::size_t extra(Instant Now) const;
-  /// All that may be open are in use and one more is of use. False while it
-  /// must not grow: the last step was just made, or one was refused lately.
+  /// Requests one more connection when all that are allowed are in use. Returns
+  /// false if the last increase was just made, or a connection was refused
+  /// recently.
   bool grow(Instant Now);
   /// A new connection was reset.
   void refused(Instant Now);
@@ -36,8 +37,9 @@
 private:
   double value(Instant Now) const;
 
-  double Seen = 0; ///< At SeenAt; it falls by half in HalfLife.
-  Instant SeenAt{};
+  /// At LastValueAt; decays with a half-life of HalfLifeMs.
+  double LastValue = 0;
+  Instant LastValueAt{};
   Instant GrownAt{};
   Instant HeldUntil{};
 };
--- a/packages/forward/ForwardAnswer.cpp
+++ b/packages/forward/ForwardAnswer.cpp
@@ -1,6 +1,6 @@
-//===- ForwardAnswer.cpp --------------------------------------------------===//
+//===- ForwardAnswer.cpp - When and how a ForwardRun answers --------------===//
 //
-// When a ForwardRun answers, with what, and how its open sends end.
+// Also how its open sends end.
 //
 //===----------------------------------------------------------------------===//
 #include "forward/ForwardRun.h"
@@ -14,22 +14,23 @@
 
 namespace {
 
-/// Replies that nobody waits for may arrive this long after the answer. A
-/// closed connection costs the replica a new handshake, a reply of 400 bytes
-/// nothing; work that a caller left must end within half a second.
+/// How long open sends may complete after the answer. A closed connection costs
+/// the replica a new handshake, a reply of 400 bytes nothing. Requests that a
+/// caller abandoned must end within half a second.
 constexpr Duration LingerTime = Millis(220);
 
-/// Callers come back after this when no replica can be used: trial connections
-/// to resting replicas are that far apart at first.
+/// Retry-After when no replica is usable; an ejected replica is first probed
+/// after about this time.
 constexpr Duration NoReplicaRetry = Millis(250);
-/// Replicas elsewhere are of no use to the request: those that may run it have
-/// to come back, which takes a restart and not a trial.
+/// Retry-After when only replicas in other regions are usable: those in the
+/// allowed regions must restart first, which takes longer than a probe.
 constexpr Duration NoAllowedReplicaRetry = Seconds(1);
 
 } // namespace
 
-bool ForwardRun::refuseAtOnce(ForwardShared &S, RunOutput &Out, Instant Now) {
-  if (Now >= End) {
+bool ForwardRun::rejectImmediately(ForwardShared &S, RunOutput &Out,
+                                   Instant Now) {
+  if (Now >= AnswerDeadline) {
     finish(Out,
            LocalAnswer{ResultCode::WouldMissDeadline,
                        {},
@@ -37,31 +38,33 @@
            Now);
     return true;
   }
-  std::size_t Servable = servableParts(S, Where, Now);
-  if (suffices(Servable))
+  std::size_t Servable = servableParts(S, ServingRegions, Now);
+  if (meetsMinCoverage(Servable))
     return false;
-  finish(Out, noReplicas(S, Servable, Now), Now);
+  finish(Out, noReplicaAnswer(S, Servable, Now), Now);
   return true;
 }
 
 std::size_t ForwardRun::servableParts(ForwardShared &S,
-                                      const AllowedRegions &In,
+                                      const AllowedRegions &Regions,
                                       Instant Now) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(Parts, [&](const Part &P) {
-        return S.Replicas.servable(serviceOf(P), In, Now);
+        return S.Replicas.servable(serviceOf(P), Regions, Now);
       }));
 }
 
-LocalAnswer ForwardRun::noReplicas(ForwardShared &S, std::size_t Servable,
-                                   Instant Now) const {
+LocalAnswer ForwardRun::noReplicaAnswer(ForwardShared &S, std::size_t Servable,
+                                        Instant Now) const {
   std::string Why = fmt::format("{} of {} services have a usable replica",
                                 Servable, Parts.size());
   AllowedRegions Anywhere = AllowedRegions::anywhere();
-  if (!Where.restricted() || !suffices(servableParts(S, Anywhere, Now)))
+  if (!ServingRegions.restricted() ||
+      !meetsMinCoverage(servableParts(S, Anywhere, Now)))
     return {ResultCode::NoReplica, NoReplicaRetry, std::move(Why)};
-  return {ResultCode::NoAllowedReplica, NoAllowedReplicaRetry,
-          fmt::format("{} in the allowed regions ({})", Why, Where.str())};
+  return {
+      ResultCode::NoAllowedReplica, NoAllowedReplicaRetry,
+      fmt::format("{} in the allowed regions ({})", Why, ServingRegions.str())};
 }
 
 RunOutput ForwardRun::callerGone(Instant Now) {
@@ -69,48 +72,49 @@
   if (Answered)
     return Out;
   Answered = true;
-  // What may run only once is left to run: half of it is worse than all.
+  // A request that may run only once is left to complete: a partial execution
+  // is worse than a full one.
   DropAt = Request.Matched->Kind == RetrySemantics::Idempotent
                ? Now + LingerTime
-               : End;
+               : AnswerDeadline;
   return Out;
 }
 
-/// An answer of \p Count parts has the least share of them.
-bool ForwardRun::suffices(std::size_t Count) const {
+/// Whether an answer of \p Count parts has the minimum coverage.
+bool ForwardRun::meetsMinCoverage(std::size_t Count) const {
   double Least = Fan ? Fan->MinCoverage : 1;
   return static_cast<double>(Count) / static_cast<double>(Parts.size()) >=
          Least;
 }
 
-bool ForwardRun::enough() const {
-  return Story.PartsSucceeded > 0 && suffices(Story.PartsSucceeded);
+bool ForwardRun::hasMinCoverage() const {
+  return Stats.PartsSucceeded > 0 && meetsMinCoverage(Stats.PartsSucceeded);
 }
 
-void ForwardRun::settle(RunOutput &Out, Instant Now) {
+void ForwardRun::answerIfReady(RunOutput &Out, Instant Now) {
   if (Answered)
     return;
   bool Waiting = std::ranges::any_of(
-      Parts, [](const Part &P) { return !P.In && !P.GivenUp; });
-  if (enough() && (!Waiting || Now >= Cutoff)) {
+      Parts, [](const Part &P) { return !P.Succeeded && !P.Exhausted; });
+  if (hasMinCoverage() && (!Waiting || Now >= Cutoff)) {
     answerParts(Out, Now);
     return;
   }
-  if (!Waiting || Now >= End) {
+  if (!Waiting || Now >= AnswerDeadline) {
     answerFailure(Out, Now, Waiting);
     return;
   }
-  // No longer possible: as many parts are given up as may not be missing.
+  // Fail as soon as the minimum coverage cannot be reached.
   if (!Fan)
     return;
   std::size_t Possible = static_cast<std::size_t>(std::ranges::count_if(
-      Parts, [](const Part &P) { return P.In || !P.GivenUp; }));
-  if (!suffices(Possible))
+      Parts, [](const Part &P) { return P.Succeeded || !P.Exhausted; }));
+  if (!meetsMinCoverage(Possible))
     answerFailure(Out, Now, false);
 }
 
 void ForwardRun::answerParts(RunOutput &Out, Instant Now) {
-  withdraw(Out, Now);
+  cancelUnstarted(Out, Now);
   if (!Fan) {
     finish(Out, RelayedAnswer{std::move(Parts.front().Reply)}, Now);
     return;
@@ -118,12 +122,12 @@
   MergedAnswer A;
   std::vector<std::string_view> Bodies;
   for (const Part &P : Parts) {
-    if (!P.In)
+    if (!P.Succeeded)
       continue;
     A.Signatures.push_back(P.Reply.Signature);
     Bodies.push_back(P.Reply.Body);
   }
-  A.Missing = Parts.size() - Story.PartsSucceeded;
+  A.Missing = Parts.size() - Stats.PartsSucceeded;
   A.Records = greatestRecords(Bodies, Fan->MaxRecords);
   finish(Out, std::move(A), Now);
 }
@@ -134,25 +138,26 @@
 }
 
 void ForwardRun::answerFailure(RunOutput &Out, Instant Now, bool TimedOut) {
-  withdraw(Out, Now);
+  cancelUnstarted(Out, Now);
   if (!Fan && Parts.front().HasReply) {
     finish(Out, RelayedAnswer{std::move(Parts.front().Reply)}, Now);
     return;
   }
   bool NothingRan = nothingRan();
-  std::string Why = fmt::format(
-      "{} of {} parts in, {} sends, {} rejected, {} lost, {} not sent, {} "
-      "replicas crashed",
-      Story.PartsSucceeded, Parts.size(), Story.Sends, Story.Rejected,
-      Story.Lost, Story.NotSent, Story.Crashed);
+  std::string Why =
+      fmt::format("{} of {} parts succeeded, {} sends, {} rejected, {} lost, "
+                  "{} not sent, {} "
+                  "replicas crashed",
+                  Stats.PartsSucceeded, Parts.size(), Stats.Sends,
+                  Stats.Rejected, Stats.Lost, Stats.NotSent, Stats.Crashed);
   if (NothingRan)
     finish(Out, LocalAnswer{ResultCode::UpstreamShed, NoReplicaRetry, Why},
            Now);
-  else if (Request.Care == Caution::OneSend && Story.Crashed > 0)
+  else if (Request.CautionLevel == Caution::OneSend && Stats.Crashed > 0)
     finish(Out, LocalAnswer{ResultCode::RequestCrashes, {}, Why}, Now);
   else if (Request.Matched->Kind == RetrySemantics::AtMostOnce)
     finish(Out, LocalAnswer{ResultCode::OutcomeUnknown, {}, Why}, Now);
-  else if (crashesEnough())
+  else if (crashLimitReached())
     finish(Out, LocalAnswer{ResultCode::ReplicasCrashed, {}, Why}, Now);
   else if (TimedOut)
     finish(Out, LocalAnswer{ResultCode::DeadlineExceeded, {}, Why}, Now);
@@ -165,12 +170,12 @@
   Out.Answer = std::move(Answer);
   DropAt = Request.Matched->Kind == RetrySemantics::Idempotent
                ? Now + LingerTime
-               : End;
+               : AnswerDeadline;
 }
 
 void ForwardRun::dropOpen(RunOutput &Out, Instant Now) {
   for (unsigned I = 0; I < Sends.size(); ++I) {
-    Sent &X = Sends[I];
+    SendState &X = Sends[I];
     if (!X.Open)
       continue;
     X.Open = false;
@@ -180,11 +185,11 @@
   OpenSends = 0;
 }
 
-/// Takes back the sends that were to start in this step: the answer is known,
-/// and one that says "not run" must stay true.
-void ForwardRun::withdraw(RunOutput &Out, Instant Now) {
+/// Cancels the sends that were to start in this step: the answer is known, and
+/// one that says "not run" must stay true.
+void ForwardRun::cancelUnstarted(RunOutput &Out, Instant Now) {
   for (const StartSend &W : Out.Start) {
-    Sent &X = Sends[W.Send];
+    SendState &X = Sends[W.Send];
     Part &P = Parts[X.Part];
     X.Open = false;
     --P.Open;
@@ -198,11 +203,11 @@
 Instant ForwardRun::nextTick() const {
   if (Answered)
     return DropAt;
-  Instant Next = End;
-  if (Fan && !CutoffSeen)
+  Instant Next = AnswerDeadline;
+  if (Fan && !CutoffPassed)
     Next = std::min(Next, Cutoff);
-  for (const Sent &X : Sends)
-    if (X.Open && !Parts[X.Part].In && !careful())
+  for (const SendState &X : Sends)
+    if (X.Open && !Parts[X.Part].Succeeded && !suspected())
       Next = std::min(Next, X.HedgeAt);
   for (const Part &P : Parts)
     Next = std::min(Next, P.RetryAt);
--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -1,8 +1,7 @@
-//===- ForwardRun.cpp -----------------------------------------------------===//
+//===- ForwardRun.cpp - Sends, retries and hedges of a request ------------===//
 //
-// Sends, second sends and replies. When and how it answers is in
-// ForwardAnswer.cpp, what is held back of a suspected request in
-// ForwardCaution.cpp.
+// ForwardAnswer.cpp decides when and how it answers, ForwardCaution.cpp what is
+// held back of a suspected request.
 //
 //===----------------------------------------------------------------------===//
 #include "forward/ForwardRun.h"
@@ -14,63 +13,64 @@
 
 namespace {
 
-/// Left of the objective when a partial answer goes out: the way to the caller
-/// (1 to 3 ms), merging, and a turn of a busy loop.
+/// Time left of the latency objective when a partial answer is sent: the way to
+/// the caller (1 to 3 ms), merging, and one iteration of a busy event loop.
 constexpr Duration ObjectiveMargin = Millis(9);
-/// Left of the deadline when an error goes out.
-constexpr Duration EndMargin = Millis(12);
+/// Time left of the deadline when an error is sent.
+constexpr Duration DeadlineMargin = Millis(12);
 
-/// A send is hedged when it has taken this many times what was predicted, and a
-/// little for timers. With work that spreads by a third about its mean this is
-/// beyond the 99th part of a hundred of healthy sends.
+/// A send is hedged after this multiple of its predicted duration, plus a
+/// little for timers. With service times that vary by a third about their mean,
+/// 99 of a hundred healthy sends are faster than that.
 constexpr double HedgeFactor = 1.9;
 constexpr Duration HedgeSlack = Millis(8);
-/// A hedge is sent early enough to take this many times what is predicted of it
-/// and still be back for the answer.
+/// A hedge is sent early enough to arrive in time for the answer even if it
+/// takes this multiple of its predicted duration.
 constexpr double LatestHedgeFactor = 1.5;
-/// A plain request's work spreads more, and one send is all there is.
+/// Service times of plain requests vary more, and one send is all there is.
 constexpr double PlainHedgeFactor = 2.6;
-/// With less than this part of the budget free, or while requests wait for
-/// replicas, only parts that decide the answer are hedged: when so few are
-/// missing from the least share that an answer needs.
-constexpr double ScarceBudget = 0.35;
+/// With less than this fraction of the budget free, or while requests wait for
+/// admission, a hedge is sent only if few parts are missing from the minimum
+/// coverage.
+constexpr double LowBudgetFraction = 0.35;
 constexpr std::size_t DecidingParts = 2;
 
-/// Sends of one part beyond those that may have run: rejected ones cost a
-/// replica little, but not nothing.
-constexpr unsigned MostRejections = 2;
+/// Limit on the sends of a part beyond those that may have run: a rejected send
+/// costs a replica little, but not nothing.
+constexpr unsigned MaxRejections = 2;
 
-/// How soon to look again when every replica has as many sends as it may.
-constexpr Duration RoomPeriod = Millis(4);
+/// Retry interval while every replica has as many sends as it may.
+constexpr Duration NoRoomRetryInterval = Millis(4);
 
 /// A request of which nothing was sent, because no replica had room, is refused
-/// after this part of the objective: the caller does better to come back than
-/// to stand in a queue that it cannot see. Once a part has run there is no
-/// honest refusal any more, and the others go on waiting.
-constexpr double WaitPart = 0.2;
+/// after this fraction of the objective: retrying later serves the caller
+/// better than a queue that it cannot see. Once a part has run, "not run" would
+/// be false, and the others continue to wait.
+constexpr double MaxWaitFraction = 0.2;
 
-/// Work spreads by a third about its median; next to none is done in half of
-/// it.
-constexpr int LeastWorkParts = 2;
+/// Service times vary by a third about their median; almost none is below half
+/// of it.
+constexpr int MinWorkDivisor = 2;
 
 bool mayRetryStatus(int Status) { return Status >= 500; }
 
 } // namespace
 
-void ForwardRun::decideTimes() {
+void ForwardRun::computeDeadlines() {
   const Route &R = *Request.Matched;
   Duration Limit = std::min(R.Timeout, Request.CallerWaits);
-  End = Request.Arrived + std::max(Duration(0), Limit - EndMargin);
-  // A caller that tries again says how much of its time is left. Its objective
-  // runs from its first try.
+  AnswerDeadline =
+      Request.Arrived + std::max(Duration(0), Limit - DeadlineMargin);
+  // A caller that retries states the time that it has left. The latency
+  // objective counts from its first attempt.
   Duration Age = R.Timeout - Limit;
   if (Age >= R.Objective)
-    Age = Duration(0); // It is late anyway; or the timeout says nothing.
+    Age = Duration(0); // Already late, or the timeout gives no information.
   Cutoff = Request.Arrived + R.Objective - Age - ObjectiveMargin;
-  Cutoff = std::clamp(Cutoff, Request.Arrived, End);
+  Cutoff = std::clamp(Cutoff, Request.Arrived, AnswerDeadline);
 }
 
-void ForwardRun::makeParts(ForwardShared &S, Instant Now) {
+void ForwardRun::createParts(ForwardShared &S, Instant Now) {
   auto Add = [&](const ServiceName &Name) {
     Part P;
     P.Service = Name;
@@ -85,10 +85,10 @@
     Add(drawService(*Split, uniform01(S.Rng)));
   else
     Add(std::get<ServiceName>(Request.Matched->Target));
-  Story.Parts = static_cast<unsigned>(Parts.size());
+  Stats.Parts = static_cast<unsigned>(Parts.size());
 }
 
-Duration ForwardRun::work(ForwardShared &S) const {
+Duration ForwardRun::workEstimate(ForwardShared &S) const {
   return S.Work.of(Request.Matched->Name, Request.Matched->Objective).median();
 }
 
@@ -96,18 +96,18 @@
   RunOutput Out;
   Fan = Request.Matched->fanOut();
   Began = Now;
-  decideTimes();
-  makeParts(S, Now);
-  SpareParts = partsToSpare();
-  if (refuseAtOnce(S, Out, Now))
+  computeDeadlines();
+  createParts(S, Now);
+  MaxMissing = maxMissingParts();
+  if (rejectImmediately(S, Out, Now))
     return Out;
-  if (careful())
-    holdAll();
+  if (suspected())
+    holdAllParts();
   else
     for (unsigned I = 0; I < Parts.size(); ++I)
       trySend(S, I, Out, Now);
-  sendHeld(S, Out, Now);
-  settle(Out, Now);
+  sendHeldParts(S, Out, Now);
+  answerIfReady(Out, Now);
   return Out;
 }
 
@@ -115,24 +115,24 @@
   return Request.Config->services().at(P.Service);
 }
 
-ReplicaPtr ForwardRun::pick(ForwardShared &S, const Part &P, unsigned Index,
-                            Instant Now) const {
+ReplicaPtr ForwardRun::pickReplica(ForwardShared &S, const Part &P,
+                                   unsigned Index, Instant Now) const {
   ReplicaCriteria C;
   C.Service = &serviceOf(P);
-  C.Work = work(S);
-  C.Regions = Where;
+  C.Work = workEstimate(S);
+  C.Regions = ServingRegions;
   C.WithinShare = Request.Matched->Kind == RetrySemantics::AtMostOnce;
   std::vector<ReplicaPtr> Tried;
-  for (const Sent &X : Sends)
+  for (const SendState &X : Sends)
     if (X.Part == Index)
       Tried.push_back(X.To);
   C.Exclude = Tried;
   double Jitter = uniform01(S.Rng);
-  if (ReplicaPtr Fresh = S.Replicas.choose(C, Jitter, Now))
-    return Fresh;
-  // Of those tried, one that did not run it may be asked again.
+  if (ReplicaPtr Untried = S.Replicas.choose(C, Jitter, Now))
+    return Untried;
+  // A replica that was tried and did not run it may be tried again.
   Tried.clear();
-  for (const Sent &X : Sends)
+  for (const SendState &X : Sends)
     if (X.Part == Index &&
         (X.Open || X.How == SendStatus::Lost || X.How == SendStatus::Answered))
       Tried.push_back(X.To);
@@ -140,47 +140,49 @@
   return S.Replicas.choose(C, Jitter, Now);
 }
 
-/// A send whose answer cannot be back is no offer: it costs a replica its work
-/// and the caller an honest "not run".
-bool ForwardRun::tooLate(ForwardShared &S, const Replica &To,
-                         Instant Now) const {
-  return Now + To.roundTrip() + work(S) / LeastWorkParts > End;
+/// A send that cannot be answered in time costs a replica its work and means
+/// that the caller can no longer be told "not run".
+bool ForwardRun::missesDeadline(ForwardShared &S, const Replica &To,
+                                Instant Now) const {
+  return Now + To.roundTrip() + workEstimate(S) / MinWorkDivisor >
+         AnswerDeadline;
 }
 
 bool ForwardRun::trySend(ForwardShared &S, unsigned Index, RunOutput &Out,
                          Instant Now) {
   Part &P = Parts[Index];
   P.RetryAt = Instant::max();
-  ReplicaPtr To = pick(S, P, Index, Now);
-  if (To && tooLate(S, *To, Now)) {
-    P.GivenUp = P.Open == 0;
+  ReplicaPtr To = pickReplica(S, P, Index, Now);
+  if (To && missesDeadline(S, *To, Now)) {
+    P.Exhausted = P.Open == 0;
     return false;
   }
   if (To) {
     send(S, Index, To, Out, Now);
     return true;
   }
-  if (S.Replicas.servable(serviceOf(P), Where, Now)) {
-    P.RetryAt = Now + RoomPeriod;
-    ++Story.NoRoomWaits;
+  if (S.Replicas.servable(serviceOf(P), ServingRegions, Now)) {
+    P.RetryAt = Now + NoRoomRetryInterval;
+    ++Stats.NoRoomWaits;
   } else if (P.Open == 0) {
-    P.GivenUp = true;
+    P.Exhausted = true;
   }
   return false;
 }
 
-/// When a send to \p To has taken longer than such sends do, but soon enough
-/// that another one can be back before the cutoff; never before the answer is
-/// due.
+/// When to hedge a send to \p To: after it has taken longer than such sends do,
+/// but early enough that the hedge can be answered before the cutoff, and never
+/// before the answer is expected.
 Instant ForwardRun::hedgeAt(ForwardShared &S, const Part &P,
                             const ReplicaPtr &To, Instant Now) const {
-  Duration Work = work(S);
+  Duration Work = workEstimate(S);
   Duration Expected = To->expected(Work, Now);
-  Duration There = To->roundTrip();
+  Duration Rtt = To->roundTrip();
   double Factor = Fan ? HedgeFactor : PlainHedgeFactor;
   Duration HedgeDelay =
-      There + HedgeSlack + fromMillisF(toMillisF(Expected - There) * Factor);
-  Duration Other = S.Replicas.quickestBesides(P.Service, Where, To, Work, Now);
+      Rtt + HedgeSlack + fromMillisF(toMillisF(Expected - Rtt) * Factor);
+  Duration Other =
+      S.Replicas.fastestOther(P.Service, ServingRegions, To, Work, Now);
   if (Other == Duration::max())
     return Now + HedgeDelay;
   Duration Latest =
@@ -191,62 +193,62 @@
 void ForwardRun::send(ForwardShared &S, unsigned Index, const ReplicaPtr &To,
                       RunOutput &Out, Instant Now) {
   Part &P = Parts[Index];
-  Sent X;
+  SendState X;
   X.Part = Index;
   X.To = To;
   X.Started = Now;
   if (Request.Matched->Kind == RetrySemantics::Idempotent)
     X.HedgeAt = hedgeAt(S, P, To, Now);
   Out.Start.push_back({static_cast<unsigned>(Sends.size()), To,
-                       std::max(Duration(0), End - Now)});
+                       std::max(Duration(0), AnswerDeadline - Now)});
   Sends.push_back(std::move(X));
   To->sendStarted(Now);
   ++P.Open;
   ++P.MayHaveRun;
   ++P.Sends;
   ++OpenSends;
-  ++Story.Sends;
+  ++Stats.Sends;
 }
 
-bool ForwardRun::spend(ForwardShared &S, const Part &P, bool Hedge,
-                       Instant Now) {
+bool ForwardRun::spendBudget(ForwardShared &S, const Part &P, bool Hedge,
+                             Instant Now) {
   RetryBudget &B = S.Budgets[P.Service];
   double Share = S.Replicas.fleetShare().RetryShare;
   bool Deciding =
-      Parts.size() - Story.PartsSucceeded <= SpareParts + DecidingParts;
+      Parts.size() - Stats.PartsSucceeded <= MaxMissing + DecidingParts;
   bool Scarce = S.RequestsQueued ||
-                B.freeFraction(S.Rules.Retries, Share, Now) < ScarceBudget;
+                B.freeFraction(S.Rules.Retries, Share, Now) < LowBudgetFraction;
   if (Hedge && !Deciding && Scarce)
     return false;
   if (B.trySpend(S.Rules.Retries, Share, Now))
     return true;
-  ++Story.BudgetRefusals;
+  ++Stats.BudgetRefusals;
   return false;
 }
 
-/// The part's last send ended as \p Last without an answer that can be used:
-/// another one, or none is possible.
-void ForwardRun::tryAgain(ForwardShared &S, unsigned Index, SendStatus Last,
-                          RunOutput &Out, Instant Now) {
+/// The part's last send ended as \p Last without a usable reply: retries it, or
+/// marks the part as exhausted.
+void ForwardRun::retryPart(ForwardShared &S, unsigned Index, SendStatus Last,
+                           RunOutput &Out, Instant Now) {
   Part &P = Parts[Index];
-  if (P.In || P.Open > 0 || P.GivenUp)
+  if (P.Succeeded || P.Open > 0 || P.Exhausted)
     return;
   bool Allowed = P.MayHaveRun < Request.Matched->MaxAttempts &&
-                 P.Sends < Request.Matched->MaxAttempts + MostRejections &&
+                 P.Sends < Request.Matched->MaxAttempts + MaxRejections &&
                  (Request.Matched->Kind == RetrySemantics::Idempotent ||
                   P.MayHaveRun == 0);
-  // A send that never left reached no replica.
-  bool Free = Last == SendStatus::NotSent;
-  if (!Allowed || (!Free && !spend(S, P, false, Now))) {
-    P.GivenUp = true;
+  // A send that never left this process costs nothing.
+  bool NeverSent = Last == SendStatus::NotSent;
+  if (!Allowed || (!NeverSent && !spendBudget(S, P, false, Now))) {
+    P.Exhausted = true;
     return;
   }
   if (trySend(S, Index, Out, Now))
-    ++Story.Retries;
+    ++Stats.Retries;
 }
 
-void ForwardRun::hedge(ForwardShared &S, RunOutput &Out, Instant Now) {
-  if (careful())
+void ForwardRun::sendHedges(ForwardShared &S, RunOutput &Out, Instant Now) {
+  if (suspected())
     return;
   std::size_t Count = Sends.size();
   for (std::size_t I = 0; I < Count; ++I) {
@@ -255,113 +257,115 @@
     Sends[I].HedgeAt = Instant::max();
     unsigned Index = Sends[I].Part;
     const Part &P = Parts[Index];
-    if (P.In || P.MayHaveRun >= Request.Matched->MaxAttempts ||
+    if (P.Succeeded || P.MayHaveRun >= Request.Matched->MaxAttempts ||
         P.RetryAt != Instant::max())
       continue;
-    // Nobody to ask: the budget must not be spent.
-    ReplicaPtr Other = pick(S, P, Index, Now);
-    if (!Other || tooLate(S, *Other, Now) || !spend(S, P, true, Now))
+    // Select first: the budget must not be charged if there is no replica.
+    ReplicaPtr Other = pickReplica(S, P, Index, Now);
+    if (!Other || missesDeadline(S, *Other, Now) ||
+        !spendBudget(S, P, true, Now))
       continue;
     send(S, Index, Other, Out, Now);
-    ++Story.Hedges;
+    ++Stats.Hedges;
   }
 }
 
-void ForwardRun::lookForRoom(ForwardShared &S, RunOutput &Out, Instant Now) {
+void ForwardRun::retryUnplaced(ForwardShared &S, RunOutput &Out, Instant Now) {
   Instant GiveUpAt =
       Request.Arrived +
-      fromMillisF(toMillisF(Request.Matched->Objective) * WaitPart);
+      fromMillisF(toMillisF(Request.Matched->Objective) * MaxWaitFraction);
   for (unsigned I = 0; I < Parts.size(); ++I)
-    if (Parts[I].RetryAt <= Now && !Parts[I].In)
+    if (Parts[I].RetryAt <= Now && !Parts[I].Succeeded)
       trySend(S, I, Out, Now);
   if (Now < GiveUpAt || !nothingRan())
     return;
   for (Part &P : Parts)
-    P.GivenUp = true;
+    P.Exhausted = true;
 }
 
-bool ForwardRun::usable(const ReplicaReply &R) const {
+bool ForwardRun::isUsable(const ReplicaReply &R) const {
   return R.success() && !R.Signature.empty() && !R.Encoded;
 }
 
-/// A replica sheds for two reasons: it is full, and then as many wait there as
-/// ever do, or it is sick, and then it sheds whatever waits. Only the first is
-/// a reason to start fewer.
-void ForwardRun::noteQueue(ForwardShared &S, Part &P, const Replica &From,
-                           const SendResult &Result) {
+/// A replica rejects sends either because its queue is full, in which case as
+/// many requests wait as ever did, or because it is faulty, in which case it
+/// rejects at any queue length. Only the former is a reason to admit fewer
+/// requests.
+void ForwardRun::recordQueue(ForwardShared &S, Part &P, const Replica &From,
+                             const SendResult &Result) {
   if (!Result.Load)
     return;
   unsigned Waiting = Result.Load->Waiting;
   double Slots = std::max(1U, Result.Load->Slots);
-  P.Queued = fromMillisF(toMillisF(work(S)) * Waiting / Slots);
-  P.FoundFull |= Result.How == SendStatus::Rejected && Waiting >= Slots &&
-                 Waiting >= From.longestQueue();
+  P.Queued = fromMillisF(toMillisF(workEstimate(S)) * Waiting / Slots);
+  P.FoundReplicaFull |= Result.How == SendStatus::Rejected &&
+                        Waiting >= Slots && Waiting >= From.longestQueue();
 }
 
-/// Parts that an answer may lack and still be one.
-std::size_t ForwardRun::partsToSpare() const {
+/// How many parts an answer may lack.
+std::size_t ForwardRun::maxMissingParts() const {
   std::size_t Spare = 0;
-  while (Spare < Parts.size() && suffices(Parts.size() - Spare - 1))
+  while (Spare < Parts.size() && meetsMinCoverage(Parts.size() - Spare - 1))
     ++Spare;
   return Spare;
 }
 
-/// One shard that lost its replicas is full whatever is done. An answer can do
-/// without as many parts as its route spares, so those that are worst off say
-/// nothing about how many requests may start.
+/// A shard that lost its replicas is full at any load. As many of the worst
+/// parts as an answer may lack are left out of the sample, since they do not
+/// tell how many requests may start.
 LoadSample ForwardRun::load(Instant Now) const {
   std::vector<Duration> Queues;
   std::size_t LostToFull = 0;
   for (const Part &P : Parts) {
     Queues.push_back(P.Queued);
-    LostToFull += !P.In && P.FoundFull;
+    LostToFull += !P.Succeeded && P.FoundReplicaFull;
   }
   std::ranges::sort(Queues);
-  Queues.resize(std::max<std::size_t>(1, Queues.size() - SpareParts));
+  Queues.resize(std::max<std::size_t>(1, Queues.size() - MaxMissing));
   LoadSample L;
   L.Latency = Now - Began;
   L.Queued = std::accumulate(Queues.begin(), Queues.end(), Duration(0)) /
              static_cast<std::int64_t>(Queues.size());
-  L.Overloaded = LostToFull > SpareParts;
+  L.Overloaded = LostToFull > MaxMissing;
   return L;
 }
 
-void ForwardRun::take(ForwardShared &S, const Sent &X, Part &P,
-                      SendResult &Result, Instant Now) {
+void ForwardRun::recordResult(ForwardShared &S, const SendState &X, Part &P,
+                              SendResult &Result, Instant Now) {
   switch (Result.How) {
   case SendStatus::Rejected:
     --P.MayHaveRun;
-    ++Story.Rejected;
+    ++Stats.Rejected;
     return;
   case SendStatus::NotSent:
     --P.MayHaveRun;
-    ++Story.NotSent;
+    ++Stats.NotSent;
     return;
   case SendStatus::Lost:
   case SendStatus::Abandoned:
-    ++Story.Lost;
-    Story.Crashed += Result.ReplicaCrashed;
+    ++Stats.Lost;
+    Stats.Crashed += Result.ReplicaCrashed;
     return;
   case SendStatus::Answered:
     break;
   }
-  if (usable(*Result.Reply))
+  if (isUsable(*Result.Reply))
     S.Work.of(Request.Matched->Name, Request.Matched->Objective)
         .observe(Now - X.Started - X.To->roundTrip());
-  if (P.In)
+  if (P.Succeeded)
     return; // The other send of a hedged pair was first.
   P.HasReply = true;
   P.Reply = std::move(*Result.Reply);
-  if (!usable(P.Reply))
+  if (!isUsable(P.Reply))
     return;
-  P.In = true;
-  ++Story.PartsSucceeded;
+  P.Succeeded = true;
+  ++Stats.PartsSucceeded;
 }
 
 RunOutput ForwardRun::replied(ForwardShared &S, unsigned Send,
                               SendResult Result, Instant Now) {
   RunOutput Out;
-  Sent &X = Sends[Send];
+  SendState &X = Sends[Send];
   if (!X.Open)
     return Out;
   X.Open = false;
@@ -371,36 +375,36 @@
   --P.Open;
   bool Unusable =
       Result.How == SendStatus::Answered &&
-      (!Result.Reply || (Result.Reply->success() && !usable(*Result.Reply)));
+      (!Result.Reply || (Result.Reply->success() && !isUsable(*Result.Reply)));
   if (Unusable)
     Result.How = X.How = SendStatus::Lost;
   bool Failure = Result.How == SendStatus::Answered &&
                  !Result.Reply->success() &&
                  mayRetryStatus(Result.Reply->Status);
-  // To its replica a failed run is as bad as a lost one.
+  // For its replica, a failed run counts like a rejected send.
   X.To->sendEnded(X.Started, Failure ? SendStatus::Rejected : Result.How,
-                  work(S), Now);
+                  workEstimate(S), Now);
   if (Result.Opened)
     X.To->rtt().opened(*Result.Opened);
   if (Result.ConnectionRefused)
     X.To->allowance().refused(Now);
   if (Result.WrongReplica)
-    X.To->sendEnded(X.Started, SendStatus::NotSent, work(S), Now);
+    X.To->sendEnded(X.Started, SendStatus::NotSent, workEstimate(S), Now);
   if (Result.Load)
     X.To->loadReported(*Result.Load, Now);
-  noteQueue(S, P, *X.To, Result);
+  recordQueue(S, P, *X.To, Result);
   unsigned Index = X.Part;
-  take(S, X, P, Result, Now);
+  recordResult(S, X, P, Result, Now);
   if (Answered)
     return Out;
-  bool Final = P.HasReply && !P.In && !mayRetryStatus(P.Reply.Status);
+  bool Final = P.HasReply && !P.Succeeded && !mayRetryStatus(P.Reply.Status);
   if (Final)
-    P.GivenUp = true; // Another replica would say the same.
-  if (crashesEnough())
+    P.Exhausted = true; // Another replica would reply the same.
+  if (crashLimitReached())
     answerFailure(Out, Now, false);
-  else if (Now < End)
-    goOn(S, Index, Result.How, Out, Now);
-  settle(Out, Now);
+  else if (Now < AnswerDeadline)
+    sendNext(S, Index, Result.How, Out, Now);
+  answerIfReady(Out, Now);
   return Out;
 }
 
@@ -411,13 +415,13 @@
       dropOpen(Out, Now);
     return Out;
   }
-  CutoffSeen = CutoffSeen || Now >= Cutoff;
-  if (Now < End) {
-    hedge(S, Out, Now);
-    lookForRoom(S, Out, Now);
-    sendHeld(S, Out, Now);
+  CutoffPassed = CutoffPassed || Now >= Cutoff;
+  if (Now < AnswerDeadline) {
+    sendHedges(S, Out, Now);
+    retryUnplaced(S, Out, Now);
+    sendHeldParts(S, Out, Now);
   }
-  settle(Out, Now);
+  answerIfReady(Out, Now);
   return Out;
 }
 
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -1,39 +1,41 @@
-//===- ForwardRun.h - A caller's request, start to answer -------*- C++ -*-===//
-//-*-===//
+//===- ForwardRun.h - State machine of one caller's request -----*- C++ -*-===//
 //
-// A state machine without input or output. A request has one part (a plain
-// request) or a part for each shard; a part is sent to one replica, and sent
-// again to another when that is allowed and of use:
+// A state machine without I/O. A request has one part (a plain request) or one
+// part per shard. A part is sent to one replica. It is sent to another one, if
+// the rules below allow it:
 //
-//   - after a failure, at once;
-//   - as a hedge, when the first send takes longer than such sends do.
+//   - after a failure, at once (a retry);
+//   - when the first send takes longer than expected (a hedge).
 //
-// A request that is not idempotent is sent again only when the send before is
-// proven not to have run. Every further send is paid from the service's
-// RetryBudget, and no more replicas may run a part than the route allows.
+// A request that is not idempotent is sent again only if the previous send is
+// proven not to have run. Every further send is charged to the service's
+// RetryBudget, except after a send that never left this process, and at most
+// Route::MaxAttempts replicas may run a part.
 //
 // When it answers:
 //
-//   all parts are in, or the rest cannot be had     at once
-//   the objective is about to pass                  with what is there, if that
-//                                                   is the least share or more:
-//                                                   late and whole is worth a
-//                                                   tenth, in time and nine
-//                                                   parts of ten four fifths
-//   after that                                      when the least share is in
-//   the caller's deadline or the route's timeout    an error, or what is there
+//   all parts succeeded, or the rest cannot be had   at once
+//   the latency objective is about to pass           with the parts at hand, if
+//                                                    they have the minimum
+//                                                    coverage
+//   after that                                       as soon as the minimum
+//                                                    coverage is reached
+//   the caller's deadline or the route's timeout     with an error, or with the
+//                                                    parts at hand
 //
-// A request whose replicas crash may be what crashes them. From the first crash
-// on, and until a run of it ends well, it is at one replica at a time, is not
-// hedged, and is given up when EnoughCrashes replicas have ended under it
-// (package quarantine). A request that only ran beside the guilty one needs one
-// reply for all of its parts to go on at once.
+// A complete answer that is late is worth a tenth; one in time with nine parts
+// of ten is worth four fifths.
 //
-// How to drive it: call begin() once, replied() for each send that ended and
-// tick() when nextTick() has come; do what comes back. After the answer it
-// still wants ticks until done(): replies under way get a little time to
-// arrive, which is cheaper for a replica than a closed connection, and are then
-// dropped.
+// A request whose replicas crash may be the cause of the crashes. From the
+// first crash until one of its sends succeeds, it is sent to one replica at a
+// time, is not hedged, and fails when EnoughCrashes replicas have crashed while
+// they had it (package quarantine). A request that only ran beside the cause
+// continues with all parts as soon as one reply arrives.
+//
+// Usage: call begin() once, replied() for each send that ended, and tick() when
+// nextTick() has come, and carry out the output of each. After the answer, call
+// tick() until done(): open sends get a short time to complete, which costs a
+// replica less than a closed connection, and are then dropped.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_FORWARDRUN_H
@@ -49,13 +51,15 @@
 
 namespace shallot {
 
-/// A whole reply of a replica.
+/// A complete reply of a replica.
 struct ReplicaReply {
   int Status = 0;
-  HttpHeaders Headers; ///< Without those of one connection.
+  HttpHeaders Headers; ///< Without hop-by-hop headers.
   std::string Body;
-  std::string Signature; ///< Proves which run made it; empty: not a replica's.
-  bool Encoded = false;  ///< The body is not as the replica made it.
+  /// Proves which run produced it; empty if it is not from a replica.
+  std::string Signature;
+  /// The body has a content encoding: it is not as the replica produced it.
+  bool Encoded = false;
 
   bool success() const { return Status >= 200 && Status < 300; }
   friend bool operator==(const ReplicaReply &, const ReplicaReply &) = default;
@@ -70,64 +74,66 @@
   bool WrongReplica = false;
   /// How long the connection took to open, if it was opened for this send.
   std::optional<Duration> Opened;
-  /// The connection was new and was reset, as a replica does above its cap.
+  /// The connection was new and was reset, as a replica does above its
+  /// connection limit.
   bool ConnectionRefused = false;
   /// The replica's process ended while it had the request.
   bool ReplicaCrashed = false;
 };
 
-/// What the operator and the settings allow all requests.
+/// Rules of the operator and the settings for all requests.
 struct ForwardRules {
   RetryAllowance Retries;
 
   friend bool operator==(const ForwardRules &, const ForwardRules &) = default;
 };
 
-/// Budgets by service.
+/// Retry budgets by service.
 using BudgetMap = std::unordered_map<ServiceName, RetryBudget>;
 
-/// What the runs of one daemon share.
+/// State that the runs of one daemon share.
 struct ForwardShared {
   ReplicaRegistry &Replicas;
   BudgetMap &Budgets;
   WorkEstimates &Work;
   Random &Rng;
   ForwardRules Rules;
-  /// Requests wait for their turn: what a hedge would use, one of them needs.
+  /// Requests wait for admission: capacity that a hedge takes is capacity that
+  /// one of them needs.
   bool RequestsQueued = false;
 };
 
-/// A caller's request, as far as the decisions need it.
+/// A caller's request, as far as forwarding depends on it.
 struct ForwardRequest {
   std::shared_ptr<const ServingConfig> Config;
-  const Route *Matched = nullptr; ///< Of Config.
+  const Route *Matched = nullptr; ///< A route of Config.
   Instant Arrived;
   Duration CallerWaits{}; ///< The caller's own deadline, from Arrived.
-  Caution Care = Caution::None;
-  unsigned CrashedBefore = 0; ///< Replicas, in earlier attempts.
+  Caution CautionLevel = Caution::None;
+  unsigned CrashedBefore = 0; ///< Replicas that crashed in earlier attempts.
 };
 
 /// A send to start.
 struct StartSend {
   unsigned Send = 0;
   ReplicaPtr To;
-  Duration TimeLeft{}; ///< What the replica is told.
+  Duration TimeLeft{}; ///< The deadline that the replica is given.
 };
 
-/// The greatest records of the parts that are in.
+/// The greatest records of the parts that succeeded.
 struct MergedAnswer {
   std::vector<std::string> Signatures;
   std::size_t Missing = 0;
   std::string Records;
 };
 
-/// A replica's reply, to be passed on as it is.
+/// A replica's reply, relayed unchanged.
 struct RelayedAnswer {
   ReplicaReply Reply;
 };
 
-/// An answer of our own. Codes that prove "not run" are used only when nothing
-/// was sent or every send was rejected.
+/// An answer generated by this daemon. Codes that prove "not run" are used only
+/// if nothing was sent or every send was rejected.
 struct LocalAnswer {
   ResultCode Code = ResultCode::Internal;
   Duration RetryAfter{};
@@ -138,11 +144,11 @@
 
 struct RunOutput {
   std::vector<StartSend> Start;
-  std::vector<unsigned> Drop; ///< Close their connections.
+  std::vector<unsigned> Drop; ///< Sends whose connections are to be closed.
   std::optional<ForwardAnswer> Answer;
 };
 
-/// What a run did, for the log line and the metrics of its request.
+/// Statistics of a run, for the log line and the metrics of its request.
 struct RunStats {
   unsigned Parts = 0;
   unsigned PartsSucceeded = 0;
@@ -152,9 +158,9 @@
   unsigned Rejected = 0;
   unsigned Lost = 0;
   unsigned NotSent = 0;
-  unsigned Crashed = 0; ///< Replicas that ended while they had it.
+  unsigned Crashed = 0; ///< Replicas that crashed while they had it.
   unsigned BudgetRefusals = 0;
-  unsigned NoRoomWaits = 0; ///< Times that no replica had room.
+  unsigned NoRoomWaits = 0; ///< How often no replica had room.
 
   friend bool operator==(const RunStats &, const RunStats &) = default;
 };
@@ -162,62 +168,70 @@
 class ForwardRun {
 public:
   explicit ForwardRun(ForwardRequest A)
-      : Request(std::move(A)), Where(Request.Matched->Regions) {}
+      : Request(std::move(A)), ServingRegions(Request.Matched->Regions) {}
 
-  /// Replicas crashed under earlier attempts, \p Before of them. To be called
-  /// before begin().
-  void setCaution(Caution Care, unsigned Before) {
-    Request.Care = Care;
+  /// Sets the caution after \p Before replicas crashed under earlier attempts.
+  /// Call it before begin().
+  void setCaution(Caution CautionLevel, unsigned Before) {
+    Request.CautionLevel = CautionLevel;
     Request.CrashedBefore = Before;
   }
-  /// A newer configuration allows its route only \p Regions: whatever is sent
-  /// from now on stays there too.
+  /// A newer configuration allows only \p Regions for this route; applies to
+  /// all further sends.
   void restrictRegions(const AllowedRegions &Regions) {
-    Where = Where.intersect(Regions);
+    ServingRegions = ServingRegions.intersect(Regions);
   }
   RunOutput begin(ForwardShared &S, Instant Now);
   RunOutput replied(ForwardShared &S, unsigned Send, SendResult Result,
                     Instant Now);
   RunOutput tick(ForwardShared &S, Instant Now);
-  /// The caller closed its connection: nobody waits for an answer any more.
+  /// The caller closed its connection: no answer is needed any more.
   RunOutput callerGone(Instant Now);
 
-  /// When tick() is wanted next.
+  /// When tick() is to be called next.
   Instant nextTick() const;
   bool answered() const { return Answered; }
-  /// Nothing is open any more.
+  /// Answered, and no send is open.
   bool done() const { return Answered && OpenSends == 0; }
   const ForwardRequest &request() const { return Request; }
-  const RunStats &stats() const { return Story; }
-  /// It makes room for others: it is answered, or only waits for stragglers. A
-  /// slow replica holds queries for long and gives no reason to start fewer.
-  bool freesAdmission() const { return Answered || CutoffSeen || enough(); }
-  /// A replica's run of it ended well.
-  bool succeeded() const { return Story.PartsSucceeded > 0; }
-  /// Something of it came to a replica, or may have.
-  bool reachedReplicas() const { return Story.Sends > Story.NotSent; }
-  /// What it has seen of the load at replicas, for the admission of others.
+  const RunStats &stats() const { return Stats; }
+  /// Whether another request may be admitted: this one is answered, or waits
+  /// for stragglers only. A slow replica holds queries for long and is no
+  /// reason to admit fewer.
+  bool freesAdmission() const {
+    return Answered || CutoffPassed || hasMinCoverage();
+  }
+  /// A send of it succeeded.
+  bool succeeded() const { return Stats.PartsSucceeded > 0; }
+  /// Something was sent to a replica, or may have been.
+  bool reachedReplicas() const { return Stats.Sends > Stats.NotSent; }
+  /// The load that it observed at replicas, for admission control.
   LoadSample load(Instant Now) const;
 
 private:
   struct Part {
     ServiceName Service;
-    bool In = false;
-    bool GivenUp = false; ///< No further send is possible.
+    bool Succeeded = false;
+    bool Exhausted = false; ///< No further send is possible.
     unsigned Open = 0;
-    unsigned MayHaveRun = 0; ///< Sends that ran or may have, open ones too.
+    /// Sends that ran or may have run, including open ones.
+    unsigned MayHaveRun = 0;
     unsigned Sends = 0;
-    Instant RetryAt = Instant::max(); ///< No replica had room; look again.
-    ReplicaReply Reply;               ///< The success, or the last failure.
+    /// When to retry because no replica had room.
+    Instant RetryAt = Instant::max();
+    ReplicaReply Reply; ///< The successful reply, or the last failure.
     bool HasReply = false;
-    /// Wait at the replica that replied last, if it reported its queue.
+    /// Queueing delay at the replica that replied last, if it reported its
+    /// queue.
     Duration Queued{};
-    bool FoundFull = false; ///< A replica turned a send away for its queue.
-    /// Waits until a run of the request has ended well.
+    bool FoundReplicaFull =
+        false; ///< A replica rejected a send because its queue was full.
+    /// Held back until a send of the request succeeds.
     bool Held = false;
-    SendStatus LastEnd = SendStatus::Abandoned; ///< Of a held part's last send.
+    /// How the last send of a held part ended.
+    SendStatus LastStatus = SendStatus::Abandoned;
   };
-  struct Sent {
+  struct SendState {
     unsigned Part = 0;
     ReplicaPtr To;
     Instant Started;
@@ -226,66 +240,66 @@
     SendStatus How = SendStatus::Abandoned;
   };
 
-  void decideTimes();
-  void makeParts(ForwardShared &S, Instant Now);
-  bool refuseAtOnce(ForwardShared &S, RunOutput &Out, Instant Now);
-  LocalAnswer noReplicas(ForwardShared &S, std::size_t Servable,
-                         Instant Now) const;
-  std::size_t servableParts(ForwardShared &S, const AllowedRegions &In,
+  void computeDeadlines();
+  void createParts(ForwardShared &S, Instant Now);
+  bool rejectImmediately(ForwardShared &S, RunOutput &Out, Instant Now);
+  LocalAnswer noReplicaAnswer(ForwardShared &S, std::size_t Servable,
+                              Instant Now) const;
+  std::size_t servableParts(ForwardShared &S, const AllowedRegions &Regions,
                             Instant Now) const;
-  bool tooLate(ForwardShared &S, const Replica &To, Instant Now) const;
+  bool missesDeadline(ForwardShared &S, const Replica &To, Instant Now) const;
   bool trySend(ForwardShared &S, unsigned Index, RunOutput &Out, Instant Now);
   void send(ForwardShared &S, unsigned Index, const ReplicaPtr &To,
             RunOutput &Out, Instant Now);
   const ServiceInfo &serviceOf(const Part &P) const;
-  ReplicaPtr pick(ForwardShared &S, const Part &P, unsigned Index,
-                  Instant Now) const;
-  void tryAgain(ForwardShared &S, unsigned Index, SendStatus Last,
+  ReplicaPtr pickReplica(ForwardShared &S, const Part &P, unsigned Index,
+                         Instant Now) const;
+  void retryPart(ForwardShared &S, unsigned Index, SendStatus Last,
+                 RunOutput &Out, Instant Now);
+  bool suspected() const;
+  bool crashLimitReached() const;
+  bool maySendWhileSuspected() const;
+  void holdAllParts();
+  void sendNext(ForwardShared &S, unsigned Index, SendStatus Last,
                 RunOutput &Out, Instant Now);
-  bool careful() const;
-  bool crashesEnough() const;
-  bool mayStartOne() const;
-  void holdAll();
-  void goOn(ForwardShared &S, unsigned Index, SendStatus Last, RunOutput &Out,
-            Instant Now);
-  void sendHeld(ForwardShared &S, RunOutput &Out, Instant Now);
-  void hedge(ForwardShared &S, RunOutput &Out, Instant Now);
-  void lookForRoom(ForwardShared &S, RunOutput &Out, Instant Now);
+  void sendHeldParts(ForwardShared &S, RunOutput &Out, Instant Now);
+  void sendHedges(ForwardShared &S, RunOutput &Out, Instant Now);
+  void retryUnplaced(ForwardShared &S, RunOutput &Out, Instant Now);
   Instant hedgeAt(ForwardShared &S, const Part &P, const ReplicaPtr &To,
                   Instant Now) const;
-  bool spend(ForwardShared &S, const Part &P, bool Hedge, Instant Now);
-  void noteQueue(ForwardShared &S, Part &P, const Replica &From,
-                 const SendResult &Result);
-  std::size_t partsToSpare() const;
-  void take(ForwardShared &S, const Sent &X, Part &P, SendResult &Result,
-            Instant Now);
-  bool usable(const ReplicaReply &R) const;
-  void settle(RunOutput &Out, Instant Now);
-  bool suffices(std::size_t Count) const;
-  bool enough() const;
+  bool spendBudget(ForwardShared &S, const Part &P, bool Hedge, Instant Now);
+  void recordQueue(ForwardShared &S, Part &P, const Replica &From,
+                   const SendResult &Result);
+  std::size_t maxMissingParts() const;
+  void recordResult(ForwardShared &S, const SendState &X, Part &P,
+                    SendResult &Result, Instant Now);
+  bool isUsable(const ReplicaReply &R) const;
+  void answerIfReady(RunOutput &Out, Instant Now);
+  bool meetsMinCoverage(std::size_t Count) const;
+  bool hasMinCoverage() const;
   bool nothingRan() const;
   void answerParts(RunOutput &Out, Instant Now);
   void answerFailure(RunOutput &Out, Instant Now, bool TimedOut);
   void finish(RunOutput &Out, ForwardAnswer Answer, Instant Now);
   void dropOpen(RunOutput &Out, Instant Now);
-  void withdraw(RunOutput &Out, Instant Now);
-  Duration work(ForwardShared &S) const;
+  void cancelUnstarted(RunOutput &Out, Instant Now);
+  Duration workEstimate(ForwardShared &S) const;
 
   ForwardRequest Request;
-  AllowedRegions Where; ///< Its replicas are in these regions.
+  AllowedRegions ServingRegions; ///< Regions that may run it.
   const ShardFanOut *Fan = nullptr;
-  Instant Cutoff; ///< The objective is about to pass.
-  Instant End;    ///< The last moment for an answer.
+  Instant Cutoff;         ///< When the latency objective is about to pass.
+  Instant AnswerDeadline; ///< The latest time for an answer.
   Instant DropAt = Instant::max();
   std::vector<Part> Parts;
-  std::vector<Sent> Sends;
-  std::size_t SpareParts = 0; ///< That an answer may lack.
+  std::vector<SendState> Sends;
+  std::size_t MaxMissing = 0; ///< How many parts an answer may lack.
   std::size_t OpenSends = 0;
-  bool AnyHeld = false; ///< Some part may be.
-  bool CutoffSeen = false;
+  bool AnyHeld = false; ///< Some part may be held.
+  bool CutoffPassed = false;
   bool Answered = false;
   Instant Began;
-  RunStats Story;
+  RunStats Stats;
 };
 
 } // namespace shallot
--- a/packages/forward/HalfLife.h
+++ b/packages/forward/HalfLife.h
@@ -1,4 +1,4 @@
-//===- HalfLife.h - What is forgotten by half in a time ---------*- C++ -*-===//
+//===- HalfLife.h - Exponential decay ---------------------------*- C++ -*-===//
 #ifndef SHALLOTSHIFT_FORWARD_HALFLIFE_H
 #define SHALLOTSHIFT_FORWARD_HALFLIFE_H
 
@@ -9,9 +9,8 @@
 
 namespace shallot::internal {
 
-/// What is left of \p Value after \p Age when it falls by half in
-/// \p HalfLifeMs.
-inline double half(double Value, Duration Age, double HalfLifeMs) {
+/// \p Value after \p Age, with a half-life of \p HalfLifeMs.
+inline double decayed(double Value, Duration Age, double HalfLifeMs) {
   return Value * std::exp2(-std::max(0.0, toMillisF(Age)) / HalfLifeMs);
 }
 
--- a/packages/forward/IncarnationTable.cpp
+++ b/packages/forward/IncarnationTable.cpp
@@ -6,7 +6,7 @@
 IncarnationOrder IncarnationTable::observe(const ReplicaEntry &Entry,
                                            Instant Now) {
   auto [At, New] = ById.try_emplace(Entry.Id);
-  Known &K = At->second;
+  KnownIncarnation &K = At->second;
   bool HasStart = Entry.StartedUnixMs != 0;
   if (HasStart && Entry.StartedUnixMs < K.StartedUnixMs) {
     bool Same = K.Earlier && K.Earlier->StartedUnixMs == Entry.StartedUnixMs;
@@ -28,29 +28,29 @@
   auto At = ById.find(Id);
   if (At == ById.end())
     return;
-  Known &K = At->second;
+  KnownIncarnation &K = At->second;
   K.Earlier.reset();
   if (K.RemovedAt == Instant::max())
     K.RemovedAt = Now;
 }
 
-std::vector<ReplicaEntry> IncarnationTable::takeStanding(Instant Now) {
-  std::vector<ReplicaEntry> Standing;
+std::vector<ReplicaEntry> IncarnationTable::takeConfirmed(Instant Now) {
+  std::vector<ReplicaEntry> Confirmed;
   for (auto &[Id, K] : ById) {
-    if (!K.Earlier || Now < K.EarlierSince + EarlierStands)
+    if (!K.Earlier || Now < K.EarlierSince + EarlierStartConfirmation)
       continue;
     K.StartedUnixMs = K.Earlier->StartedUnixMs;
     K.RemovedAt = Instant::max();
-    Standing.push_back(*std::exchange(K.Earlier, std::nullopt));
+    Confirmed.push_back(*std::exchange(K.Earlier, std::nullopt));
   }
-  return Standing;
+  return Confirmed;
 }
 
 void IncarnationTable::forget(Instant Now) {
   std::erase_if(ById, [&](const auto &Item) {
-    const Known &K = Item.second;
+    const KnownIncarnation &K = Item.second;
     return !K.Earlier && K.RemovedAt != Instant::max() &&
-           Now >= K.RemovedAt + RememberIncarnation;
+           Now >= K.RemovedAt + IncarnationRetention;
   });
 }
 
--- a/packages/forward/IncarnationTable.h
+++ b/packages/forward/IncarnationTable.h
@@ -1,21 +1,21 @@
-//===- IncarnationTable.h - Which start of a replica counts -----*- C++ -*-===//
+//===- IncarnationTable.h - Incarnations of replicas ------------*- C++ -*-===//
 //
-// A replica may start again under the id that it had, with empty state. Its
-// registration holds its start time; id and start time name one incarnation.
-// This table decides which incarnation a registration belongs to:
+// A replica may restart under the same id, with empty state. Its registration
+// holds its start time; id and start time identify an incarnation. This table
+// determines which incarnation a registration belongs to:
 //
-//   Current    the known incarnation, or the first one seen of this id
-//   Restarted  a later one: observations of the one before no longer apply
-//   Outdated   an earlier one that arrives late. It never comes back: a
-//              registration that the old process sent before it died may reach
-//              the store, or a list may reach us, after the new one's.
+//   Current    the known incarnation, or the first one of this id
+//   Restarted  a later one: observations of the previous one no longer apply
+//   Outdated   an earlier one. A registration that the old process sent before
+//              it ended may reach the store after the new one's, and a list may
+//              arrive late. It is ignored.
 //
 // A registration without a start time belongs to the known incarnation.
 //
-// A host's clock may have been set back between two starts, and the new
-// incarnation then looks earlier than the old one. A registration of a dead
-// process is overwritten at the next heartbeat of the live one, or lapses; one
-// that stands for EarlierStands is the live one's (takeStanding()).
+// If a host's clock is set back between two starts, the new incarnation looks
+// earlier than the old one. The registration of a process that has ended is
+// overwritten by the next heartbeat of the live one, or lapses. One that stands
+// for EarlierStartConfirmation is therefore the live one's (takeConfirmed()).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_INCARNATIONTABLE_H
@@ -29,37 +29,38 @@
 
 enum class IncarnationOrder : std::uint8_t { Current, Restarted, Outdated };
 
-/// How long an earlier start time must stand unchallenged to be believed: more
-/// than the three heartbeat intervals of 1.2 s after which the registration of
-/// a silent replica lapses.
-inline constexpr Duration EarlierStands = Seconds(5);
-/// How long a replica that is gone is remembered. Calls to the store that got
-/// no reply may take effect seconds later; a minute is ten times that.
-inline constexpr Duration RememberIncarnation = Seconds(60);
+/// How long a registration with an earlier start time must stand unchallenged
+/// to be accepted. More than the three heartbeat intervals of 1.2 s after which
+/// the registration of a silent replica lapses.
+inline constexpr Duration EarlierStartConfirmation = Seconds(5);
+/// How long the incarnation of a removed replica is kept. Calls to the store
+/// that got no reply may take effect seconds later; a minute is ten times that.
+inline constexpr Duration IncarnationRetention = Seconds(60);
 
 class IncarnationTable {
 public:
-  /// Which incarnation \p Entry belongs to; remembers it.
+  /// Determines which incarnation \p Entry belongs to, and records it.
   IncarnationOrder observe(const ReplicaEntry &Entry, Instant Now);
   /// The registration of \p Id was removed.
   void removed(const UpstreamId &Id, Instant Now);
-  /// Registrations whose earlier start time stood for EarlierStands, and is
-  /// believed from now on.
-  std::vector<ReplicaEntry> takeStanding(Instant Now);
-  /// Drops what was removed longer ago than RememberIncarnation.
+  /// Returns and accepts registrations whose earlier start time has stood for
+  /// EarlierStartConfirmation.
+  std::vector<ReplicaEntry> takeConfirmed(Instant Now);
+  /// Drops incarnations that were removed more than IncarnationRetention ago.
   void forget(Instant Now);
 
   std::size_t size() const { return ById.size(); }
 
 private:
-  struct Known {
+  struct KnownIncarnation {
     std::uint64_t StartedUnixMs = 0;
     Instant RemovedAt = Instant::max();
-    std::optional<ReplicaEntry> Earlier; ///< Heard last, and not believed yet.
+    /// The last registration with an earlier start time, not accepted yet.
+    std::optional<ReplicaEntry> Earlier;
     Instant EarlierSince{};
   };
 
-  std::unordered_map<UpstreamId, Known> ById;
+  std::unordered_map<UpstreamId, KnownIncarnation> ById;
 };
 
 } // namespace shallot
--- a/packages/forward/Replica.cpp
+++ b/packages/forward/Replica.cpp
@@ -7,80 +7,82 @@
 
 namespace shallot {
 
-using internal::half;
+using internal::decayed;
 
 namespace {
 
-/// What a send to another zone or region costs beside its time, in the same
-/// unit: traffic between regions costs money. A near replica with a short queue
-/// is still preferred, a stuck or slow one is not.
-constexpr double SameRegionPriceMs = 2;
-constexpr double OtherRegionPriceMs = 15;
+/// The cost of a send to another zone or region besides its duration, in the
+/// same unit: traffic between regions costs money. A near replica with a short
+/// queue is preferred to a distant one; a stalled or slow one is not.
+constexpr double SameRegionCostMs = 2;
+constexpr double OtherRegionCostMs = 15;
 
-/// How far one answer moves the slowness: little when it is about as expected,
-/// more when it is off by two or more. Steps and not an average: a pause makes
-/// one answer many times too late, and an average would keep callers away until
-/// long after the pause.
+/// How far one answer moves the slowness: little if it is about as expected,
+/// more if it is off by a factor of two or more. Fixed steps are used instead
+/// of an average: a pause makes one answer many times too late, and an average
+/// would keep requests away until long after the pause.
 constexpr double SmallStep = 1.08;
 constexpr double LargeStep = 1.25;
 constexpr double LargeStepRatio = 2;
-/// Late answers one after another are no pause, of which only the first answer
-/// is late: the replica is slow, and that should be known after few answers.
+/// After a pause only the first answer is late. Several late answers in a row
+/// mean that the replica is slow, which should be detected after a few answers.
 constexpr double RepeatedStep = 2.5;
-constexpr double LeastSlowness = 0.7;
-constexpr double MostSlowness = 20;
-/// Without answers slowness and failures are forgotten by half in this time,
-/// so that a replica that recovered is found again.
+constexpr double MinSlowness = 0.7;
+constexpr double MaxSlowness = 20;
+/// Without answers, slowness and failure rate decay with these half-lives, so
+/// that a replica that recovered is used again.
 constexpr double SlownessHalfLifeMs = 1500;
 constexpr double FailureHalfLifeMs = 2000;
 constexpr double FailureWeight = 0.2;
-/// A send that fails costs another one, out of a small budget, and the time
-/// until it is noticed.
+/// A failed send costs another one, from a small budget, and the time until the
+/// failure is detected.
 constexpr double FailureCostMs = 300;
 
-/// A reported load is about the moment of the reply; it is worth nothing after
-/// a few requests' time.
+/// A reported load describes the time of the reply and is outdated after a few
+/// requests.
 constexpr double LoadHalfLifeMs = 40;
 
-/// A reply of another region is a trip old when it comes; queues of a burst
-/// last for many of them.
+/// A reply from another region is one trip old on arrival; the queues of a
+/// burst last for many of them.
 constexpr Duration BusyReportValidity = Millis(250);
 
-/// A send is stuck when it takes this many times what was predicted, and a
+/// A send is stalled when it takes this multiple of its prediction, plus a
 /// little for timers and scheduling.
-constexpr double StuckFactor = 2.0;
-constexpr double StuckSlackMs = 12;
-/// Added to the prediction of a stuck replica, which may hang for good.
-constexpr double StuckCostMs = 150;
+constexpr double StallFactor = 2.0;
+constexpr double StallSlackMs = 12;
+/// Added to the prediction of a stalled replica, which may hang permanently.
+constexpr double StallCostMs = 150;
 
-/// A replica that has just started takes about this much longer.
+/// Factor by which a cold replica is slower.
 constexpr double ColdFactor = 1.6;
 
-/// Sends lost in a row before a replica rests; one loss may be its neighbour's
-/// fault or a reply spoilt on the way.
-constexpr unsigned LostBeforeRest = 3;
-/// Without an answer for longer it is more than a pause with its queue.
-constexpr double OverdueMs = 320;
-constexpr Duration FirstRest = Millis(200);
-constexpr Duration LongestRest = Seconds(3);
+/// Number of consecutive lost sends after which a replica is ejected. A single
+/// loss may be due to another request on the replica or to a reply damaged in
+/// transit.
+constexpr unsigned LostBeforeEjection = 3;
+/// A send that is open for longer is more than a pause and the queue after it.
+constexpr double LossTimeoutMs = 320;
+constexpr Duration MinEjection = Millis(200);
+constexpr Duration MaxEjection = Seconds(3);
 
-double priceMs(Distance D) {
+double distanceCostMs(Distance D) {
   switch (D) {
   case Distance::SameZone:
     return 0;
   case Distance::SameRegion:
-    return SameRegionPriceMs;
+    return SameRegionCostMs;
   case Distance::OtherRegion:
-    return OtherRegionPriceMs;
+    return OtherRegionCostMs;
   }
   return 0;
 }
 
 } // namespace
 
-Replica::Replica(ReplicaEntry E, Distance Far, std::shared_ptr<RttEstimate> Rtt,
-                 Instant Now, Instant RestartedAt)
-    : Entry(std::move(E)), Far(Far), Rtt(std::move(Rtt)),
+Replica::Replica(ReplicaEntry E, Distance Dist,
+                 std::shared_ptr<RttEstimate> Rtt, Instant Now,
+                 Instant RestartedAt)
+    : Entry(std::move(E)), Dist(Dist), Rtt(std::move(Rtt)),
       RestartedAt(RestartedAt), WarmAt(Now + Entry.WarmupLeft), LastAnswer(Now),
       SlownessAt(Now), FailureAt(Now), LoadAt(Now) {}
 
@@ -103,34 +105,34 @@
 }
 
 double Replica::slowness(Instant Now) const {
-  return 1 + half(SlownessSeen - 1, Now - SlownessAt, SlownessHalfLifeMs);
+  return 1 + decayed(LastSlowness - 1, Now - SlownessAt, SlownessHalfLifeMs);
 }
 
 double Replica::failureRate(Instant Now) const {
-  return half(FailureSeen, Now - FailureAt, FailureHalfLifeMs);
+  return decayed(LastFailureRate, Now - FailureAt, FailureHalfLifeMs);
 }
 
-void Replica::noteFailure(double Outcome, Instant Now) {
+void Replica::recordFailure(double Outcome, Instant Now) {
   double Before = failureRate(Now);
-  FailureSeen = Before + FailureWeight * (Outcome - Before);
+  LastFailureRate = Before + FailureWeight * (Outcome - Before);
   FailureAt = Now;
 }
 
-/// Behind a pause the answers come in a burst; only the first of them was held
-/// up by more than its own work. Counted from the answer before it, the others
-/// show that the replica is as quick as ever.
-void Replica::noteAnswer(Instant Started, Duration Work, Instant Now) {
+/// After a pause the answers arrive in a burst, and only the first of them was
+/// delayed by more than its own service time. Measured from the previous
+/// answer, the others show that the replica is as fast as before.
+void Replica::recordAnswer(Instant Started, Duration Work, Instant Now) {
   Instant From = std::max(Started + roundTrip(), LastAnswer);
   double Ratio = toMillisF(Now - From) / std::max(1.0, toMillisF(Work));
   double Seen = slowness(Now);
   bool Late = Ratio > Seen * LargeStepRatio;
   LateInARow = Late ? LateInARow + 1 : 0;
-  bool Far = Late || Ratio < Seen / LargeStepRatio;
-  double Step = Far ? LargeStep : SmallStep;
+  bool Large = Late || Ratio < Seen / LargeStepRatio;
+  double Step = Large ? LargeStep : SmallStep;
   if (LateInARow > 1)
     Step = RepeatedStep;
   Seen *= Ratio > Seen ? Step : 1 / Step;
-  SlownessSeen = std::clamp(Seen, LeastSlowness, MostSlowness);
+  LastSlowness = std::clamp(Seen, MinSlowness, MaxSlowness);
   SlownessAt = Now;
   LastAnswer = Now;
 }
@@ -142,33 +144,33 @@
     Open.erase(At);
   switch (How) {
   case SendStatus::Answered:
-    noteAnswer(Started, Work, Now);
+    recordAnswer(Started, Work, Now);
     LostInARow = 0;
-    RestTime = Duration(0);
-    noteFailure(0, Now);
+    EjectionTime = Duration(0);
+    recordFailure(0, Now);
     return;
   case SendStatus::Rejected:
     LastAnswer = Now;
-    noteFailure(1, Now);
+    recordFailure(1, Now);
     return;
   case SendStatus::NotSent:
-    noteFailure(1, Now);
-    rest(Now);
+    recordFailure(1, Now);
+    eject(Now);
     return;
   case SendStatus::Lost:
-    noteFailure(1, Now);
-    if (++LostInARow >= LostBeforeRest)
-      rest(Now);
+    recordFailure(1, Now);
+    if (++LostInARow >= LostBeforeEjection)
+      eject(Now);
     return;
   case SendStatus::Abandoned:
-    // Nobody learns how it would have ended. When it had taken longer than any
-    // pause, it counts as lost: a replica that takes requests and never answers
-    // would otherwise cost every request a hedge.
-    if (toMillisF(Now - Started) < OverdueMs || LastAnswer > Started)
+    // The outcome is unknown. A send that took longer than any pause counts as
+    // lost; otherwise a replica that accepts requests and never answers would
+    // cost every request a hedge.
+    if (toMillisF(Now - Started) < LossTimeoutMs || LastAnswer > Started)
       return;
-    noteFailure(1, Now);
-    if (++LostInARow >= LostBeforeRest)
-      rest(Now);
+    recordFailure(1, Now);
+    if (++LostInARow >= LostBeforeEjection)
+      eject(Now);
     return;
   }
 }
@@ -191,16 +193,16 @@
       static_cast<double>(Open.size() - 1) / std::max(1U, Entry.Slots);
   double Usual =
       toMillisF(roundTrip()) + toMillisF(Work) * slowness(Now) * (1 + Ahead);
-  double Quiet = toMillisF(Now - std::max(Oldest, LastAnswer));
-  return Quiet > StuckFactor * Usual + StuckSlackMs;
+  double SinceProgress = toMillisF(Now - std::max(Oldest, LastAnswer));
+  return SinceProgress > StallFactor * Usual + StallSlackMs;
 }
 
 Duration Replica::expected(Duration Work, Instant Now) const {
   double Slots = std::max(1U, Entry.Slots);
   double Busy = static_cast<double>(Open.size());
   if (Load)
-    Busy = std::max(Busy, half(Load->Running + Load->Waiting, Now - LoadAt,
-                               LoadHalfLifeMs));
+    Busy = std::max(Busy, decayed(Load->Running + Load->Waiting, Now - LoadAt,
+                                  LoadHalfLifeMs));
   double Queue = std::max(0.0, Busy + 1 - Slots) / Slots;
   double Cold = cold(Now) ? ColdFactor : 1;
   double Ms = toMillisF(Work) * Cold * slowness(Now) * (1 + Queue);
@@ -208,39 +210,39 @@
 }
 
 Duration Replica::predicted(Duration Work, Instant Now) const {
-  double Ms = toMillisF(expected(Work, Now)) + priceMs(Far);
+  double Ms = toMillisF(expected(Work, Now)) + distanceCostMs(Dist);
   Ms += failureRate(Now) * FailureCostMs;
   if (stalled(Work, Now))
-    Ms += StuckCostMs;
+    Ms += StallCostMs;
   return fromMillisF(Ms);
 }
 
-void Replica::rest(Instant Now) {
-  RestTime = std::clamp(RestTime * 2, FirstRest, LongestRest);
-  Resting = true;
-  TrialRuns = false;
-  TrialAt = Now + RestTime;
+void Replica::eject(Instant Now) {
+  EjectionTime = std::clamp(EjectionTime * 2, MinEjection, MaxEjection);
+  Ejected = true;
+  ProbeRunning = false;
+  ProbeAt = Now + EjectionTime;
 }
 
 bool Replica::takeProbe(Instant Now) {
-  if (!Resting || TrialRuns || Now < TrialAt)
+  if (!Ejected || ProbeRunning || Now < ProbeAt)
     return false;
-  TrialRuns = true;
+  ProbeRunning = true;
   return true;
 }
 
 void Replica::probeEnded(bool Worked, Instant Now) {
-  if (!Resting)
+  if (!Ejected)
     return;
   if (!Worked) {
-    rest(Now);
+    eject(Now);
     return;
   }
-  Resting = false;
-  TrialRuns = false;
-  // One more loss puts it back to rest: a process that takes connections and
-  // answers nothing passes every trial.
-  LostInARow = LostBeforeRest - 1;
+  Ejected = false;
+  ProbeRunning = false;
+  // One more loss ejects it again: a process that accepts connections and
+  // answers nothing passes every probe.
+  LostInARow = LostBeforeEjection - 1;
 }
 
 } // namespace shallot
--- a/packages/forward/Replica.h
+++ b/packages/forward/Replica.h
@@ -1,24 +1,24 @@
-//===- Replica.h - One replica and what we saw of it ------------*- C++ -*-===//
+//===- Replica.h - Observed state of one replica ----------------*- C++ -*-===//
 //
-// A replica is judged by this daemon's own sends: how many are open, how long
-// answers take compared with what that work usually takes, what failed, and the
-// load that it reports. From these a replica predicts how long
-// a send would take now; the smallest prediction is chosen (ReplicaRegistry).
+// Predicts how long a send to a replica would take. The prediction is based on
+// this daemon's own sends: the number that are open, the latency of answers
+// relative to the usual service time, failures, and the load that the replica
+// reports. ReplicaRegistry selects the replica with the smallest prediction.
 //
-// Three troubles look alike at first and must not be answered alike:
+// Three failure modes look alike at first and are treated differently:
 //
-//   - a pause of 150 to 250 ms (a collection, a compaction): several sends stay
-//     open and nothing answers. Sends that have not begun go elsewhere until
-//     anything answers; then it is as good as before.
-//   - slowness of seconds: answers come, late. The prediction grows with them,
-//     fast when several in a row are late, and falls back by itself in a few
-//     seconds, so that it is tried again.
-//   - a dead replica: connections fail or sends are lost in a row. It rests,
-//     for longer each time, until a connection opened for that purpose works;
-//     no caller pays for the try.
+//   - A pause of 150 to 250 ms (garbage collection, compaction): several sends
+//     stay open without an answer. New sends go elsewhere until the replica
+//     answers; then its prediction is as before.
+//   - Slowness for seconds: answers arrive late. The prediction grows with each
+//     of them, faster after several in a row, and decays within a few seconds,
+//     so that the replica is tried again.
+//   - A dead replica: connections fail or several sends in a row are lost. It
+//     is ejected, for longer each time, until a probe connection succeeds. No
+//     caller's request is used as a probe.
 //
-// A quick failure must not look like a quick replica: failures never shorten a
-// prediction, they lengthen it.
+// Failures always lengthen a prediction, so that a replica that fails quickly
+// does not look fast.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_REPLICA_H
@@ -33,7 +33,7 @@
 
 namespace shallot {
 
-/// A replica as it registered itself.
+/// The registration of a replica.
 struct ReplicaEntry {
   UpstreamId Id;
   ServiceName Service;
@@ -41,28 +41,29 @@
   AvailabilityZone Zone;
   Region Reg;
   unsigned Slots = 1;
-  bool Leaving = false;  ///< It takes no new work.
-  Duration WarmupLeft{}; ///< It answers slowly for this long after its start.
-  /// When this incarnation started, in milliseconds of Unix time; 0: not known.
-  /// Only ever compared with another such time of the same id.
+  bool Leaving = false; ///< It accepts no new requests.
+  /// Remaining time for which it is cold and answers slowly.
+  Duration WarmupLeft{};
+  /// Start time of this incarnation in milliseconds of Unix time; 0 if unknown.
+  /// Compared only with start times of the same id.
   std::uint64_t StartedUnixMs = 0;
 
   friend bool operator==(const ReplicaEntry &, const ReplicaEntry &) = default;
 };
 
-/// How far a replica is from this daemon.
+/// Distance class of a replica, seen from this daemon.
 enum class Distance : std::uint8_t { SameZone, SameRegion, OtherRegion };
 
-/// How one send ended.
+/// How a send ended.
 enum class SendStatus : std::uint8_t {
-  Answered,  ///< A whole reply to this request.
-  Rejected,  ///< The replica said that it did not run it.
-  NotSent,   ///< No connection: nothing left this process.
-  Lost,      ///< It was sent and no usable reply came; it may have run.
-  Abandoned, ///< We stopped waiting.
+  Answered,  ///< A complete reply to this request.
+  Rejected,  ///< The replica reported that it did not run it.
+  NotSent,   ///< No connection: nothing was sent.
+  Lost,      ///< Sent, but no usable reply arrived; it may have run.
+  Abandoned, ///< This daemon stopped waiting.
 };
 
-/// The load that a replica reports with a reply.
+/// The load that a replica reports with its replies.
 struct ReportedLoad {
   unsigned Running = 0;
   unsigned Waiting = 0;
@@ -73,89 +74,92 @@
 
 class Replica {
 public:
-  /// \p RestartedAt: when it became known that this incarnation followed
-  /// another one of the same id, if one did.
-  /// \p Rtt is shared by the replicas of its availability zone.
-  Replica(ReplicaEntry Entry, Distance Far, std::shared_ptr<RttEstimate> Rtt,
+  /// \p RestartedAt is the time at which a restart of this id was detected, if
+  /// there was one. \p Rtt is shared by the replicas of an availability zone.
+  Replica(ReplicaEntry Entry, Distance Dist, std::shared_ptr<RttEstimate> Rtt,
           Instant Now, Instant RestartedAt = Instant::min());
 
   const ReplicaEntry &entry() const { return Entry; }
-  Distance distance() const { return Far; }
-  /// Connections that were opened before this lead to a process that is gone:
-  /// whatever is sent on one is lost, and nobody knows whether it ran.
+  Distance distance() const { return Dist; }
+  /// Connections opened before this time lead to a process that has ended: a
+  /// request sent on one is lost, and may or may not have run.
   Instant connectionsValidFrom() const { return RestartedAt; }
-  /// The same incarnation registered anew, with another state.
+  /// Applies a new registration of the same incarnation.
   void update(ReplicaEntry Entry, Instant Now);
 
-  /// It started a short while ago, by what it registered.
+  /// It is in the warm-up period that it registered.
   bool cold(Instant Now) const { return Now < WarmAt; }
   Instant warmAt() const { return WarmAt; }
-  /// Whether a send may start to a cold replica that gets \p PerSecond from
+  /// Whether a send to a cold replica is within the rate of \p PerSecond from
   /// this daemon.
   bool warmupAdmits(double PerSecond, Instant Now);
 
   void sendStarted(Instant Now);
-  /// \p Work is what such a request usually takes in a replica.
+  /// \p Work is the usual service time of such a request.
   void sendEnded(Instant Started, SendStatus How, Duration Work, Instant Now);
   void loadReported(const ReportedLoad &L, Instant Now);
 
-  /// How long a send begun now would take, with what it would cost besides.
+  /// Predicted duration of a send started now, including the cost of distance
+  /// and of likely failures.
   Duration predicted(Duration Work, Instant Now) const;
-  /// The same without the costs: how long its answer would take, if it is not
-  /// stuck and does not fail.
+  /// Predicted duration of a send without these costs, if the replica is not
+  /// stalled and does not fail.
   Duration expected(Duration Work, Instant Now) const;
-  /// The RTT without any work.
+  /// The RTT, without service time.
   Duration roundTrip() const { return Rtt->value(); }
   RttEstimate &rtt() { return *Rtt; }
   std::size_t openSends() const { return Open.size(); }
-  /// The most waiting requests that it ever reported: the length of its queue,
-  /// once that was full.
+  /// The largest number of waiting requests that it reported. Once its queue
+  /// has been full, this is the queue limit.
   unsigned longestQueue() const { return LongestQueue; }
-  /// It reported lately that requests wait: more connections do not help, and a
-  /// replica with a long queue takes fewer.
+  /// It recently reported waiting requests. More connections would not help: a
+  /// replica with a long queue accepts fewer.
   bool reportedBusy(Instant Now) const;
   /// Connections beyond this daemon's share.
   ConnectionAllowance &allowance() { return Allowance; }
   const ConnectionAllowance &allowance() const { return Allowance; }
-  /// Sends wait there and nothing came back for longer than they should take.
+  /// Sends are open and nothing has arrived for longer than they should take.
   bool stalled(Duration Work, Instant Now) const;
 
-  /// It gets no callers' requests until a trial connection worked.
-  bool ejected() const { return Resting; }
-  /// A trial connection should be opened now; answers true once for each rest.
+  /// No callers' requests are sent to it until a probe connection succeeds.
+  bool ejected() const { return Ejected; }
+  /// Returns true once per ejection, when a probe connection should be opened.
   bool takeProbe(Instant Now);
   void probeEnded(bool Worked, Instant Now);
-  /// Answers against the usual time; 1 is as usual.
+  /// Answer latency relative to the usual; 1 is usual.
   double slowness(Instant Now) const;
 
 private:
-  void noteAnswer(Instant Started, Duration Work, Instant Now);
-  void rest(Instant Now);
+  void recordAnswer(Instant Started, Duration Work, Instant Now);
+  void eject(Instant Now);
   double failureRate(Instant Now) const;
-  void noteFailure(double Outcome, Instant Now);
+  void recordFailure(double Outcome, Instant Now);
 
   ReplicaEntry Entry;
-  Distance Far;
+  Distance Dist;
   std::shared_ptr<RttEstimate> Rtt;
   Instant RestartedAt;
   Instant WarmAt;
-  std::optional<TokenBucket> Warmup; ///< Sends while it is taken for cold.
-  std::vector<Instant> Open;         ///< When each open send began.
+  /// Limits sends while it is treated as cold.
+  std::optional<TokenBucket> Warmup;
+  std::vector<Instant> Open; ///< Start time of each open send.
   Instant LastAnswer;
-  double SlownessSeen = 1; ///< Answers against the usual time.
+  /// Answer latency relative to the usual, at SlownessAt.
+  double LastSlowness = 1;
   Instant SlownessAt;
-  double FailureSeen = 0; ///< Part of the sends that failed lately.
+  /// Fraction of recent sends that failed, at FailureAt.
+  double LastFailureRate = 0;
   Instant FailureAt;
-  unsigned LateInARow = 0; ///< Answers, without one in time between them.
+  unsigned LateInARow = 0; ///< Consecutive late answers.
   unsigned LostInARow = 0;
   std::optional<ReportedLoad> Load;
   Instant LoadAt;
   unsigned LongestQueue = 0;
   ConnectionAllowance Allowance;
-  bool Resting = false;
-  bool TrialRuns = false;
-  Instant TrialAt;
-  Duration RestTime{};
+  bool Ejected = false;
+  bool ProbeRunning = false;
+  Instant ProbeAt;
+  Duration EjectionTime{};
 };
 
 } // namespace shallot
--- a/packages/forward/ReplicaRegistry.cpp
+++ b/packages/forward/ReplicaRegistry.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Part of a replica's connections that daemons of its own region share. Sends
-/// go to near replicas unless these are slow or stuck, so the near ones need
-/// more; the rest is enough to take over a neighbour's load.
-constexpr double NearPart = 0.6;
-/// Daemons of other regions are given this many times their part: they come
-/// only while their own replica is in trouble, and not all at once.
-constexpr double FarOvercommit = 1.6;
-/// The most of a replica's connections that one daemon takes, however idle the
-/// others are: one that has gone mad must leave some for them.
-constexpr double MostPart = 0.6;
-/// Round-trip times until the first connection has told: within a zone, a
+/// The fraction of a replica's connections that daemons of its own region
+/// share. Sends go to near replicas unless these are slow or stalled, so the
+/// near daemons need more; the rest is enough to take over a neighbour's load.
+constexpr double SameRegionFraction = 0.6;
+/// Daemons of other regions get this multiple of their equal share: they use it
+/// only while their own replica has failed, and not all at once.
+constexpr double CrossRegionOvercommit = 1.6;
+/// Limit on the fraction of a replica's connections that one daemon uses,
+/// however idle the others are, so that a faulty daemon leaves some for them.
+constexpr double MaxDaemonFraction = 0.6;
+/// Round-trip times until the first connection is measured: within a zone, a
 /// region, and the country.
-Duration rttGuess(Distance D) {
+Duration initialRtt(Distance D) {
   switch (D) {
   case Distance::SameZone:
     return Micros(400);
@@ -32,35 +32,36 @@
   return Duration(0);
 }
 
-/// What a replica spends on a new connection, by the users' figures.
+/// What a new connection costs a replica, according to its operators.
 constexpr double HandshakeMs = 6;
-/// The end of an evacuation and the word that the zone's replicas are cold come
-/// on two watches; one of them may be this much later.
-constexpr Duration PresumedCold = Seconds(2);
+/// The end of an evacuation and the cold state of the zone's replicas arrive on
+/// two watches; one of them may be this much later.
+constexpr Duration PresumedColdTime = Seconds(2);
 
-/// Predictions are spread by this part at most: enough that daemons that see
-/// the same do not all take the same replica, too little to take a bad one.
-constexpr double JitterPart = 0.15;
+/// Predictions are increased at random by at most this fraction: enough that
+/// daemons with the same view do not all select the same replica, too little to
+/// select a bad one.
+constexpr double JitterFraction = 0.15;
 
 } // namespace
 
 namespace {
 
-/// A new connection takes a trip there and back before the request can leave.
+/// A new connection takes one round trip before the request can be sent.
 double newConnectionMs(const Replica &R) {
   return toMillisF(R.roundTrip()) + HandshakeMs;
 }
 
 } // namespace
 
-std::size_t connectionShare(unsigned MaxConnections, Distance Far,
+std::size_t connectionShare(unsigned MaxConnections, Distance Dist,
                             const FleetShare &S) {
-  double Part = S.OutsideRegion == 0 ? 1 : NearPart;
+  double Part = S.OutsideRegion == 0 ? 1 : SameRegionFraction;
   std::size_t Sharers = S.InRegion;
-  if (Far == Distance::OtherRegion) {
-    Part = (1 - NearPart) * FarOvercommit;
-    // Daemons of the replica's own region have the other part; how many there
-    // are in all other regions is not more than there are in all.
+  if (Dist == Distance::OtherRegion) {
+    Part = (1 - SameRegionFraction) * CrossRegionOvercommit;
+    // Daemons of the replica's own region have the other part. The number of
+    // daemons in all other regions is at most the total.
     Sharers = std::max<std::size_t>(1, S.connected() - 1);
   }
   double Share = MaxConnections * Part / static_cast<double>(Sharers);
@@ -77,10 +78,10 @@
   IncarnationOrder Order = Incarnations.observe(Entry, Now);
   if (Order == IncarnationOrder::Outdated)
     return;
-  place(std::move(Entry), Order == IncarnationOrder::Restarted, Now);
+  install(std::move(Entry), Order == IncarnationOrder::Restarted, Now);
 }
 
-void ReplicaRegistry::place(ReplicaEntry Entry, bool Restarted, Instant Now) {
+void ReplicaRegistry::install(ReplicaEntry Entry, bool Restarted, Instant Now) {
   UpstreamId Id = Entry.Id;
   auto [At, New] = ById.try_emplace(Id);
   Slot &S = At->second;
@@ -92,22 +93,22 @@
   }
   if (!New)
     std::erase(ByService[S.Ptr->entry().Service], &S);
-  Distance Far = distance(Entry);
+  Distance Dist = distance(Entry);
   ByService[Entry.Service].push_back(&S);
   S.Registered = true;
   std::shared_ptr<RttEstimate> Rtt = rttTo(Entry);
-  S.Ptr = std::make_shared<Replica>(std::move(Entry), Far, std::move(Rtt), Now,
+  S.Ptr = std::make_shared<Replica>(std::move(Entry), Dist, std::move(Rtt), Now,
                                     Restarted ? Now : Instant::min());
 }
 
 std::shared_ptr<RttEstimate> ReplicaRegistry::rttTo(const ReplicaEntry &E) {
   std::shared_ptr<RttEstimate> &Rtt = Rtts[E.Zone];
   if (!Rtt)
-    Rtt = std::make_shared<RttEstimate>(rttGuess(distance(E)));
+    Rtt = std::make_shared<RttEstimate>(initialRtt(distance(E)));
   return Rtt;
 }
 
-void ReplicaRegistry::vanish(Slot &S, Instant Now) {
+void ReplicaRegistry::markVanished(Slot &S, Instant Now) {
   if (!S.Registered)
     return;
   S.Registered = false;
@@ -118,7 +119,7 @@
 void ReplicaRegistry::remove(const UpstreamId &Id, Instant Now) {
   auto At = ById.find(Id);
   if (At != ById.end())
-    vanish(At->second, Now);
+    markVanished(At->second, Now);
 }
 
 void ReplicaRegistry::replaceAll(std::vector<ReplicaEntry> Entries,
@@ -130,7 +131,7 @@
   }
   for (auto &[Id, S] : ById)
     if (!Listed.contains(Id))
-      vanish(S, Now);
+      markVanished(S, Now);
 }
 
 void ReplicaRegistry::setEvacuated(std::set<AvailabilityZone> Zones,
@@ -142,54 +143,55 @@
   ZonesKnown = true;
 }
 
-/// Until the daemon's own moment to use it fully has come.
-bool ReplicaRegistry::limitedAsCold(const Replica &R, const ServiceInfo &Info,
-                                    Instant Now) const {
+/// Whether sends are limited, until this daemon's own warmupReturnDelay() has
+/// passed.
+bool ReplicaRegistry::inWarmup(const Replica &R, const ServiceInfo &Info,
+                               Instant Now) const {
   if (Info.WarmupRate <= 0)
     return false;
   Instant Warm = R.warmAt();
   auto Ended = EvacuationEnded.find(R.entry().Zone);
   if (Ended != EvacuationEnded.end())
-    Warm = std::max(Warm, Ended->second + PresumedCold);
+    Warm = std::max(Warm, Ended->second + PresumedColdTime);
   if (Now >= Warm + WarmupReturnSpread)
     return false;
   return Now < Warm + warmupReturnDelay(Senders.Self, R.entry().Id);
 }
 
-bool ReplicaRegistry::ownsCold(const Replica &R) const {
+bool ReplicaRegistry::ownsWarmupOf(const Replica &R) const {
   return ownsWarmup(Senders, R.entry().Id, R.entry().Reg);
 }
 
 bool ReplicaRegistry::warmupAdmits(Replica &R, const ServiceInfo &Info,
                                    Instant Now) const {
-  return !limitedAsCold(R, Info, Now) ||
-         (ownsCold(R) &&
+  return !inWarmup(R, Info, Now) ||
+         (ownsWarmupOf(R) &&
           R.warmupAdmits(warmupRate(Info.WarmupRate, Options.Warmup), Now));
 }
 
-void ReplicaRegistry::storeLost() { StoreIsAway = true; }
+void ReplicaRegistry::storeLost() { StoreIsLost = true; }
 
 void ReplicaRegistry::storeRecovered(Instant Now) {
-  if (!StoreIsAway)
+  if (!StoreIsLost)
     return;
-  StoreIsAway = false;
-  StoreBackAt = Now;
+  StoreIsLost = false;
+  StoreRecoveredAt = Now;
 }
 
-Instant ReplicaRegistry::holdEnds(const Slot &S) const {
+Instant ReplicaRegistry::holdEnd(const Slot &S) const {
   Instant Usual = S.VanishedAt + Options.LapseHold;
   // An entry that is missing right after an outage may still come back.
-  Instant Back = StoreBackAt + Options.ReturnGrace;
+  Instant Back = StoreRecoveredAt + Options.RecoveryGrace;
   return S.VanishedAt < Back ? std::max(Usual, Back) : Usual;
 }
 
-bool ReplicaRegistry::holds(const Slot &S, Instant Now) const {
-  return !S.Registered && !S.Ptr->entry().Leaving && Now < holdEnds(S);
+bool ReplicaRegistry::heldAfterLapse(const Slot &S, Instant Now) const {
+  return !S.Registered && !S.Ptr->entry().Leaving && Now < holdEnd(S);
 }
 
 bool ReplicaRegistry::mayServe(const Slot &S, Instant Now) const {
   const ReplicaEntry &E = S.Ptr->entry();
-  bool Stays = S.Registered ? !E.Leaving : holds(S, Now);
+  bool Stays = S.Registered ? !E.Leaving : heldAfterLapse(S, Now);
   return Stays && !S.Ptr->ejected() && ZonesKnown && !evacuated(E.Zone);
 }
 
@@ -203,7 +205,7 @@
     return false;
   std::size_t Extra = R.allowance().extra(Now);
   return R.openSends() < Share + Extra &&
-         static_cast<double>(R.openSends()) < Cap * MostPart;
+         static_cast<double>(R.openSends()) < Cap * MaxDaemonFraction;
 }
 
 ReplicaPtr ReplicaRegistry::choose(const ReplicaCriteria &C, double Jitter,
@@ -219,8 +221,8 @@
       Slots, [&](const Slot *S) { return S->Registered && Allowed(*S); });
   ReplicaPtr Best;
   double BestMs = 0;
-  ReplicaPtr Busy; ///< Better than the best, if it had room.
-  double BusyMs = 0;
+  ReplicaPtr Full; ///< Better than Best, if it had room.
+  double FullMs = 0;
   double Draw = Jitter;
   for (Slot *S : Slots) {
     const Replica &R = *S->Ptr;
@@ -231,58 +233,60 @@
       continue;
     Draw = Draw * 7.31 + 0.137;
     Draw -= static_cast<double>(static_cast<int>(Draw));
-    double Ms = toMillisF(R.predicted(C.Work, Now)) * (1 + JitterPart * Draw);
+    double Ms =
+        toMillisF(R.predicted(C.Work, Now)) * (1 + JitterFraction * Draw);
     bool Room = hasRoom(R, C, Now);
-    ReplicaPtr &Leader = Room ? Best : Busy;
-    double &LeaderMs = Room ? BestMs : BusyMs;
+    ReplicaPtr &Leader = Room ? Best : Full;
+    double &LeaderMs = Room ? BestMs : FullMs;
     if (Leader && Ms >= LeaderMs)
       continue;
     Leader = S->Ptr;
     LeaderMs = Ms;
   }
-  bool Wanted = Busy && !C.WithinShare &&
-                (!Best || BusyMs + newConnectionMs(*Busy) < BestMs);
-  if (Wanted && !Busy->reportedBusy(Now) && Busy->allowance().grow(Now) &&
-      hasRoom(*Busy, C, Now))
-    return Busy;
+  bool Wanted = Full && !C.WithinShare &&
+                (!Best || FullMs + newConnectionMs(*Full) < BestMs);
+  if (Wanted && !Full->reportedBusy(Now) && Full->allowance().grow(Now) &&
+      hasRoom(*Full, C, Now))
+    return Full;
   return Best;
 }
 
-Duration ReplicaRegistry::quickestBesides(const ServiceName &Service,
-                                          const AllowedRegions &Where,
-                                          const ReplicaPtr &Other,
-                                          Duration Work, Instant Now) const {
+Duration ReplicaRegistry::fastestOther(const ServiceName &Service,
+                                       const AllowedRegions &Regions,
+                                       const ReplicaPtr &Other, Duration Work,
+                                       Instant Now) const {
   Duration Best = Duration::max();
   auto At = ByService.find(Service);
   if (At == ByService.end())
     return Best;
   for (const Slot *S : At->second)
-    if (S->Ptr != Other && Where.allows(S->Ptr->entry().Reg) &&
+    if (S->Ptr != Other && Regions.allows(S->Ptr->entry().Reg) &&
         mayServe(*S, Now) && !S->Ptr->stalled(Work, Now))
       Best = std::min(Best, S->Ptr->expected(Work, Now));
   return Best;
 }
 
 bool ReplicaRegistry::servable(const ServiceInfo &Service,
-                               const AllowedRegions &Where, Instant Now) const {
+                               const AllowedRegions &Regions,
+                               Instant Now) const {
   auto At = ByService.find(Service.Name);
   if (At == ByService.end())
     return false;
   return std::ranges::any_of(At->second, [&](const Slot *S) {
     const Replica &R = *S->Ptr;
-    return Where.allows(R.entry().Reg) && mayServe(*S, Now) &&
-           (!limitedAsCold(R, Service, Now) || ownsCold(R));
+    return Regions.allows(R.entry().Reg) && mayServe(*S, Now) &&
+           (!inWarmup(R, Service, Now) || ownsWarmupOf(R));
   });
 }
 
 void ReplicaRegistry::expire(Instant Now) {
-  for (ReplicaEntry &E : Incarnations.takeStanding(Now))
-    place(std::move(E), true, Now);
+  for (ReplicaEntry &E : Incarnations.takeConfirmed(Now))
+    install(std::move(E), true, Now);
   Incarnations.forget(Now);
   std::erase_if(ById, [&](const auto &Item) {
     const Slot &S = Item.second;
-    // While the store is away nothing is known to be gone.
-    if (S.Registered || StoreIsAway || Now < holdEnds(S))
+    // While the store is unreachable, no replica is known to be gone.
+    if (S.Registered || StoreIsLost || Now < holdEnd(S))
       return false;
     auto At = ByService.find(S.Ptr->entry().Service);
     std::erase(At->second, &S);
--- a/packages/forward/ReplicaRegistry.h
+++ b/packages/forward/ReplicaRegistry.h
@@ -1,29 +1,29 @@
-//===- ReplicaRegistry.h - Which replicas may be used -----------*- C++ -*-===//
-//-*-===//
+//===- ReplicaRegistry.h - Registered replicas and selection ----*- C++ -*-===//
 //
-// Keeps every registered replica by service and chooses one for each send.
+// Holds all registered replicas by service and selects one for each send.
 //
-// What a registration proves, and for how long:
+// Effect of a registration, or of its absence:
 //
 //   registered, ready     used.
-//   leaving               gets nothing new.
-//   its entry vanished    it leaves without notice, or its entry lapsed
+//   leaving               gets no new sends.
+//   entry vanished        the replica left without notice, or its entry lapsed
 //                         because the store could not be reached. It is used
-//                         only while its service has no other, and only for
-//                         LapseHold; after an outage of the store until
-//                         ReturnGrace after its return, when entries of live
-//                         replicas are back.
-//   an earlier start      nothing: that incarnation is gone (IncarnationTable).
-//   a later start         a new replica: what was seen of the one before is
-//                         dropped, and so are the connections to it. Sends that
-//                         were open to it may have run.
+//                         only while its service has no other replica, and only
+//                         for LapseHold; after an outage of the store, until
+//                         RecoveryGrace after the end of the outage, by when
+//                         live replicas have registered again.
+//   earlier start time    ignored: that incarnation has ended
+//                         (IncarnationTable).
+//   later start time      a new replica. Observations of the previous
+//                         incarnation and connections to it are dropped. Sends
+//                         that were open to it may have run.
 //
-// Replicas of an availability zone that is being evacuated get nothing,
-// whatever else is known of them.
+// Replicas of an availability zone that is being evacuated get no sends,
+// whatever their state.
 //
-// So a store that forgot everything does not empty the fleet at once, and a
-// replica that is gone gets nothing new long before the time by which it must
-// have been left alone.
+// As a result, a store that lost all entries does not make every replica
+// unusable at once, and a replica that has left stops getting sends long before
+// the time by which it must have none.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_REPLICAREGISTRY_H
@@ -44,7 +44,7 @@
 
 using ReplicaPtr = std::shared_ptr<Replica>;
 
-/// Where this daemon runs.
+/// Where a daemon or a caller runs.
 struct Location {
   AvailabilityZone Zone;
   Region Reg;
@@ -52,31 +52,32 @@
   friend bool operator==(const Location &, const Location &) = default;
 };
 
-/// How many daemons share what replicas take.
+/// How the connections to replicas and the retry allowance are divided among
+/// daemons.
 struct FleetShare {
-  /// Daemons that open connections to replicas: of this daemon's region, itself
-  /// too, and of the others.
+  /// Number of daemons that open connections to replicas: in this daemon's
+  /// region, including itself, and in other regions.
   std::size_t InRegion = 1;
   std::size_t OutsideRegion = 0;
-  /// This daemon's part of the constant in the retry allowance.
+  /// This daemon's fraction of the constant in the retry allowance.
   double RetryShare = 1;
 
   std::size_t connected() const { return InRegion + OutsideRegion; }
   friend bool operator==(const FleetShare &, const FleetShare &) = default;
 };
 
-/// Connections that this daemon may hold to a replica that takes
-/// \p MaxConnections from everyone.
-std::size_t connectionShare(unsigned MaxConnections, Distance Far,
+/// Number of connections that this daemon may hold to a replica that accepts \p
+/// MaxConnections in all.
+std::size_t connectionShare(unsigned MaxConnections, Distance Dist,
                             const FleetShare &S);
 
 struct ReplicaRegistryOptions {
-  /// How long a vanished replica may stand in for a service that has no other:
-  /// well within the time that a leaving replica serves on.
+  /// How long a vanished replica may be used for a service that has no other
+  /// replica. Well below the time for which a leaving replica still serves.
   Duration LapseHold = Seconds(2);
   /// Entries of live replicas are back about two seconds after the store is.
-  Duration ReturnGrace = Millis(2500);
-  /// Zones may be evacuated: until it is known which are, no replica is used.
+  Duration RecoveryGrace = Millis(2500);
+  /// If set, no replica is used until it is known which zones are evacuated.
   bool AwaitEvacuations = false;
   WarmupBound Warmup;
 
@@ -84,14 +85,14 @@
                          const ReplicaRegistryOptions &) = default;
 };
 
-/// What a send is to be chosen for.
+/// The criteria by which a replica is selected for a send.
 struct ReplicaCriteria {
   const ServiceInfo *Service = nullptr;
-  Duration Work{};                     ///< What such a request usually takes.
-  std::span<const ReplicaPtr> Exclude; ///< Tried before.
+  Duration Work{}; ///< The usual service time of the request.
+  std::span<const ReplicaPtr> Exclude; ///< Replicas that were tried before.
   AllowedRegions Regions = AllowedRegions::anywhere();
-  /// A connection that the replica may refuse is not worth the risk: whether
-  /// the request ran on it would be unknown.
+  /// Use no connection beyond this daemon's share: the replica may reset it,
+  /// and it would be unknown whether the request ran.
   bool WithinShare = false;
 };
 
@@ -101,41 +102,43 @@
       : Here(std::move(Here)), Options(Options),
         ZonesKnown(!Options.AwaitEvacuations) {}
 
-  /// Everything that is registered now; what is missing has vanished.
+  /// Replaces all registrations; replicas that are not in \p Entries have
+  /// vanished.
   void replaceAll(std::vector<ReplicaEntry> Entries, Instant Now);
   void put(ReplicaEntry Entry, Instant Now);
   void remove(const UpstreamId &Id, Instant Now);
-  /// The store stopped or began to answer us.
+  /// The store became unreachable, or reachable again.
   void storeLost();
   void storeRecovered(Instant Now);
-  /// Replicas of \p Zones get no new sends until this is called without them.
+  /// Replicas of \p Zones get no new sends until a call without their zone.
   void setEvacuated(std::set<AvailabilityZone> Zones, Instant Now);
-  /// Whether it is known which zones are evacuated.
+  /// Whether the set of evacuated zones is known.
   bool zonesKnown() const { return ZonesKnown; }
   bool evacuated(const AvailabilityZone &Zone) const {
     return Evacuated.contains(Zone);
   }
   void setFleetShare(FleetShare S) { Shared = S; }
   const FleetShare &fleetShare() const { return Shared; }
-  /// Who sends to cold replicas; before the first call nobody.
+  /// Sets the daemons that may send to cold replicas. Before the first call,
+  /// there are none.
   void setWarmupSenders(WarmupSenders S) { Senders = std::move(S); }
 
-  /// The best replica now, or null: none may be used, or each has as many open
-  /// sends as this daemon may have connections to it. \p Jitter in [0, 1)
-  /// spreads daemons that see the same.
+  /// Returns the best replica, or null if none is usable or each has as many
+  /// open sends as this daemon may have connections to it. \p Jitter in [0, 1)
+  /// spreads the selections of daemons with the same view.
   ReplicaPtr choose(const ReplicaCriteria &C, double Jitter, Instant Now);
-  /// How long the quickest replica of \p Service in \p Where besides \p Other
-  /// would take; Duration::max() when there is none.
-  Duration quickestBesides(const ServiceName &Service,
-                           const AllowedRegions &Where, const ReplicaPtr &Other,
-                           Duration Work, Instant Now) const;
-  /// True when some replica of the service in \p Where may be used, busy or
-  /// not.
-  bool servable(const ServiceInfo &Service, const AllowedRegions &Where,
+  /// Expected duration of a send to the fastest replica of \p Service in \p
+  /// Regions other than \p Other; Duration::max() if there is none.
+  Duration fastestOther(const ServiceName &Service,
+                        const AllowedRegions &Regions, const ReplicaPtr &Other,
+                        Duration Work, Instant Now) const;
+  /// Whether a replica of the service in \p Regions is usable, even if it has
+  /// no room now.
+  bool servable(const ServiceInfo &Service, const AllowedRegions &Regions,
                 Instant Now) const;
-  /// Forgets replicas whose time as a stand-in has passed.
+  /// Removes vanished replicas whose hold time has passed.
   void expire(Instant Now);
-  /// Replicas that should be tried with a connection now.
+  /// Replicas to which a probe connection should be opened now.
   std::vector<ReplicaPtr> dueProbes(Instant Now);
 
   std::size_t size() const { return ById.size(); }
@@ -150,15 +153,14 @@
   std::shared_ptr<RttEstimate> rttTo(const ReplicaEntry &E);
   bool hasRoom(const Replica &R, const ReplicaCriteria &C, Instant Now) const;
   Distance distance(const ReplicaEntry &E) const;
-  void place(ReplicaEntry Entry, bool Restarted, Instant Now);
-  bool holds(const Slot &S, Instant Now) const;
+  void install(ReplicaEntry Entry, bool Restarted, Instant Now);
+  bool heldAfterLapse(const Slot &S, Instant Now) const;
   bool mayServe(const Slot &S, Instant Now) const;
-  bool limitedAsCold(const Replica &R, const ServiceInfo &Info,
-                     Instant Now) const;
-  bool ownsCold(const Replica &R) const;
+  bool inWarmup(const Replica &R, const ServiceInfo &Info, Instant Now) const;
+  bool ownsWarmupOf(const Replica &R) const;
   bool warmupAdmits(Replica &R, const ServiceInfo &Info, Instant Now) const;
-  Instant holdEnds(const Slot &S) const;
-  void vanish(Slot &S, Instant Now);
+  Instant holdEnd(const Slot &S) const;
+  void markVanished(Slot &S, Instant Now);
 
   Location Here;
   ReplicaRegistryOptions Options;
@@ -171,8 +173,8 @@
   bool ZonesKnown;
   std::set<AvailabilityZone> Evacuated;
   std::map<AvailabilityZone, Instant> EvacuationEnded;
-  bool StoreIsAway = false;
-  Instant StoreBackAt{};
+  bool StoreIsLost = false;
+  Instant StoreRecoveredAt{};
 };
 
 } // namespace shallot
