--- a/tests/correctness/RecordsAreMerged.cpp
+++ b/tests/correctness/RecordsAreMerged.cpp
@@ -1,4 +1,4 @@
-// A merged answer holds the greatest records of its parts, falling.
+// A merged answer holds the greatest records of its parts in descending order.
 #include "shallotshift/forward.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("bytes compare as unsigned, equal records all count") {
+TEST_CASE("bytes compare as unsigned, duplicates are kept") {
   std::string A = record(0x7f) + record(0xff) + record('b');
   std::string B = record('b') + record(0x80);
   CHECK(greatestRecords({A, B}, 4) ==
@@ -25,14 +25,14 @@
         record(0xff) + record(0x80) + record(0x7f) + record('b') + record('b'));
 }
 
-TEST_CASE("what is left at the end of a part is no record") {
+TEST_CASE("trailing bytes of a part are ignored") {
   std::string Part = record('a') + "zzzz";
   CHECK(greatestRecords({Part}, 5) == record('a'));
   CHECK(greatestRecords({"zzzz"}, 5).empty());
   CHECK(greatestRecords({}, 5).empty());
 }
 
-TEST_CASE("it equals sorting everything, for any parts") {
+TEST_CASE("the result equals sorting all records, for any parts") {
   Random Rng(7);
   for (int Round = 0; Round < 200; ++Round) {
     std::vector<std::string> Parts(below(Rng, 6) + 1);
--- a/tests/correctness/RoutesMatchLongestPrefix.cpp
+++ b/tests/correctness/RoutesMatchLongestPrefix.cpp
@@ -1,4 +1,5 @@
-// A request follows the longest prefix of its path among its host's routes.
+// A request takes the route with the longest matching prefix among those of its
+// host.
 #include "shallotshift/forward.h"
 
 #include <doctest/doctest.h>
@@ -35,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the caller's host wins") {
+TEST_CASE("the longest prefix of the request's host wins") {
   ServingConfig C = config({route("short", "a.example", "/x/"),
                             route("long", "a.example", "/x/y/"),
                             route("other", "b.example", "/x/y/z/")});
@@ -54,7 +55,7 @@
   CHECK(matched(C, "a.example", "/x/") == "x");
 }
 
-TEST_CASE("a split gives each service its weight's share") {
+TEST_CASE("a split selects services in proportion to their weights") {
   WeightedSplit Split{
       {ServiceName("a"), 9}, {ServiceName("b"), 1}, {ServiceName("c"), 0}};
   unsigned ToA = 0, ToB = 0, ToC = 0;
--- a/tests/correctness/RttIsObserved.cpp
+++ b/tests/correctness/RttIsObserved.cpp
@@ -1,5 +1,6 @@
-// How far a replica is follows from what connections and replies show, wherever
-// it is: no figure of a network is built in but a guess until the first one.
+// Guards against predictions from assumed network distances: the RTT to a
+// replica is learned from connections and replies, and an assumed one is used
+// only until the first of them.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -7,13 +8,13 @@
 using namespace shallot;
 using namespace shallot::test;
 
-TEST_CASE("the first connection replaces the guess") {
+TEST_CASE("the first connection replaces the initial estimate") {
   RttEstimate T(Millis(20));
   T.opened(Millis(90));
   CHECK(T.value() == Millis(90));
 }
 
-TEST_CASE("a busy host is no longer way, a longer way is learnt") {
+TEST_CASE("one slow connection does not raise the RTT, a longer path does") {
   RttEstimate T(Millis(20));
   T.opened(Millis(16));
   T.opened(Millis(900));
@@ -25,7 +26,7 @@
   CHECK(T.value() == Millis(16));
 }
 
-TEST_CASE("no reply is quicker than the way") {
+TEST_CASE("a reply bounds the RTT") {
   RttEstimate T(Millis(20));
   T.opened(Millis(40));
   T.replied(Millis(25));
@@ -34,7 +35,7 @@
   CHECK(T.value() == Millis(25));
 }
 
-TEST_CASE_FIXTURE(ForwardFixture, "replicas of a zone share what is observed") {
+TEST_CASE_FIXTURE(ForwardFixture, "replicas of a zone share an RTT estimate") {
   add("one", "a", "there");
   add("two", "b", "there");
   add("near", "c", "here");
@@ -51,7 +52,7 @@
 }
 
 TEST_CASE_FIXTURE(ForwardFixture,
-                  "a reply over a long way is no late one, and not hedged") {
+                  "a reply over a long distance is not late and not hedged") {
   add("far", "a", "there");
   add("far-too", "a", "there");
   ForwardRun R = run(route(ServiceName("a")));
@@ -63,7 +64,8 @@
   First.Opened = Millis(90);
   Out = R.replied(Shared, 0, First, Began + Millis(100));
   CHECK(To->slowness(Began + Millis(100)) < 1.5);
-  // The next one waits for the whole way and its work before it asks again.
+  // The next send is not hedged before the whole RTT and the service time have
+  // passed.
   ForwardRun Next = run(route(ServiceName("a")));
   Now = Began + Millis(200);
   REQUIRE(Next.begin(Shared, Now).Start.size() == 1);
--- a/tests/error/ServingConfigIsChecked.cpp
+++ b/tests/error/ServingConfigIsChecked.cpp
@@ -1,4 +1,4 @@
-// A configuration that cannot be served is refused, and the route is named.
+// An invalid configuration is rejected with an error that names the route.
 #include "shallotshift/forward.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-Route good() {
+Route validRoute() {
   Route R;
   R.Name = "lanes";
   R.Host = "a.example";
@@ -19,9 +19,9 @@
   return R;
 }
 
-Error errorOf(const std::function<void(Route &)> &Spoil) {
-  Route R = good();
-  Spoil(R);
+Error errorOf(const std::function<void(Route &)> &Mutate) {
+  Route R = validRoute();
+  Mutate(R);
   auto C = attempt([&] {
     return ServingConfig::make(1, {R}, {{ServiceName("s"), 5}}, CallerLimits());
   });
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("each mistake is named with its route") {
+TEST_CASE("each error names its route") {
   CHECK(errorOf([](Route &) {}).Code == ResultCode::Ok);
   const std::vector<std::pair<std::function<void(Route &)>, std::string>>
       Mistakes = {
@@ -65,8 +65,8 @@
            },
            "route lanes: a fan-out must be idempotent"},
       };
-  for (const auto &[Spoil, Text] : Mistakes) {
-    Error E = errorOf(Spoil);
+  for (const auto &[Mutate, Text] : Mistakes) {
+    Error E = errorOf(Mutate);
     CHECK(E.Code == ResultCode::ConfigInvalid);
     CHECK(E.Detail == Text);
   }
--- a/tests/failure/ActionsAreForwardedOnce.cpp
+++ b/tests/failure/ActionsAreForwardedOnce.cpp
@@ -1,8 +1,8 @@
-// What the caller sees: an action whose reply is lost ends "unknown", never
-// "not run" and never twice. What happens: the request leaves, then the
-// connection breaks, or the caller's time runs out, or the replica says that it
-// did not run it. Only in the last case, or when nothing left, may it be sent
-// again.
+// Guards against an action that runs twice, or that is reported as "not run"
+// although it may have run. The request is sent, then the connection breaks,
+// the caller's deadline passes, or the replica reports that it did not run it.
+// It may be sent again only in the last case, or if nothing was sent; a lost
+// reply ends as "unknown".
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ActionFixture, "a lost reply is not sent again") {
+TEST_CASE_FIXTURE(ActionFixture,
+                  "a request whose reply was lost is not sent again") {
   ForwardRun R = action();
   RunOutput Out = R.begin(Shared, Now);
   REQUIRE(Out.Start.size() == 1);
@@ -34,7 +35,8 @@
   CHECK_FALSE(provesNotRun(own(Out).Code));
 }
 
-TEST_CASE_FIXTURE(ActionFixture, "silence is no reason to send it again") {
+TEST_CASE_FIXTURE(ActionFixture,
+                  "a request without a reply is not sent again") {
   ForwardRun R = action();
   R.begin(Shared, Now);
   RunOutput Out = tickUntil(R, Now + Seconds(2));
@@ -42,7 +44,7 @@
   CHECK(own(Out).Code == ResultCode::OutcomeUnknown);
 }
 
-TEST_CASE_FIXTURE(ActionFixture, "one that was rejected is sent elsewhere") {
+TEST_CASE_FIXTURE(ActionFixture, "a rejected request is sent elsewhere") {
   ForwardRun R = action();
   RunOutput Out = R.begin(Shared, Now);
   ReplicaPtr First = Out.Start.front().To;
@@ -54,7 +56,8 @@
   CHECK(std::get<RelayedAnswer>(*Out.Answer).Reply.Body == "body");
 }
 
-TEST_CASE_FIXTURE(ActionFixture, "one that never left is sent elsewhere") {
+TEST_CASE_FIXTURE(ActionFixture,
+                  "a request that was never sent is sent elsewhere") {
   ForwardRun R = action();
   R.begin(Shared, Now);
   RunOutput Out =
@@ -63,7 +66,7 @@
 }
 
 TEST_CASE_FIXTURE(ActionFixture,
-                  "when every replica rejected it, it has not run") {
+                  "a request that every replica rejected has not run") {
   ForwardRun R = action();
   R.begin(Shared, Now);
   R.replied(Shared, 0, ended(SendStatus::Rejected), Now + Millis(2));
@@ -75,7 +78,8 @@
   CHECK(own(Out).RetryAfter > Duration(0));
 }
 
-TEST_CASE_FIXTURE(ActionFixture, "a caller that leaves does not stop it") {
+TEST_CASE_FIXTURE(ActionFixture,
+                  "a caller that disconnects does not cancel it") {
   ForwardRun R = action();
   R.begin(Shared, Now);
   CHECK(R.callerGone(Now + Millis(10)).Drop.empty());
@@ -83,7 +87,7 @@
 }
 
 TEST_CASE_FIXTURE(ActionFixture,
-                  "a failure of the replica is passed on as it is") {
+                  "a failure of the replica is relayed unchanged") {
   ForwardRun R = action();
   R.begin(Shared, Now);
   RunOutput Out = R.replied(Shared, 0, answered("no", 500), Now + Millis(5));
--- a/tests/failure/ConnectionsFollowNeed.cpp
+++ b/tests/failure/ConnectionsFollowNeed.cpp
@@ -1,7 +1,8 @@
-// What callers see: nothing, when a region's replicas turn slow or dark. What
-// happens: its daemon needs more connections to far replicas than its share,
-// and these are idle; it takes more one by one, and gives way when one is
-// reset. Why an action does not: on a connection that is reset it may have run.
+// Guards against requests that wait for connections while other replicas are
+// idle. When the replicas of a region are slow or unreachable, its daemon needs
+// more connections to remote replicas than its share; it opens more one at a
+// time and backs off when one is reset. An action uses no connection beyond the
+// share, since it may have run on one that is reset.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -11,8 +12,8 @@
 
 namespace {
 
-struct NeedFixture : ForwardFixture {
-  NeedFixture() {
+struct AllowanceFixture : ForwardFixture {
+  AllowanceFixture() {
     Replicas.setFleetShare({1, 5, 1.0 / 6});
     add("far", "a", "there");
   }
@@ -24,7 +25,8 @@
     C.WithinShare = WithinShare;
     return Replicas.choose(C, 0, Now);
   }
-  /// Sends without an end until no more is allowed; how many are open then.
+  /// Starts sends without ending them until no more is allowed; returns how
+  /// many are open then.
   std::size_t fill(Duration For, bool WithinShare = false) {
     Instant End = Now + For;
     std::size_t Open = 0;
@@ -42,18 +44,19 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(NeedFixture, "whoever needs more takes more, one by one") {
+TEST_CASE_FIXTURE(AllowanceFixture,
+                  "connections beyond the share are opened one at a time") {
   CHECK(fill(Millis(10)) == share() + 1);
   std::size_t Later = fill(Millis(200));
   CHECK(Later >= share() + 8);
   CHECK(fill(Seconds(5)) <= 25 * 0.6 + 1);
 }
 
-TEST_CASE_FIXTURE(NeedFixture, "an action keeps to the share") {
+TEST_CASE_FIXTURE(AllowanceFixture, "an action stays within the share") {
   CHECK(fill(Seconds(1), true) == share());
 }
 
-TEST_CASE("a reset gives half back and grows no more for a while") {
+TEST_CASE("a reset halves the allowance and stops its growth for a while") {
   Instant Now{Seconds(1000)};
   ConnectionAllowance A;
   for (int I = 0; I < 10; ++I, Now += Millis(20))
@@ -65,7 +68,7 @@
   CHECK(A.grow(Now + Seconds(2)));
 }
 
-TEST_CASE("what is not wanted any more is given back") {
+TEST_CASE("unused allowance decays") {
   Instant Now{Seconds(1000)};
   ConnectionAllowance A;
   for (int I = 0; I < 10; ++I, Now += Millis(20))
@@ -75,7 +78,8 @@
   CHECK(A.extra(Now + Seconds(10)) == 0);
 }
 
-TEST_CASE_FIXTURE(NeedFixture, "a replica with a queue gets no more of them") {
+TEST_CASE_FIXTURE(AllowanceFixture,
+                  "a replica with a queue gets no further connections") {
   ReplicaPtr R = choose();
   R->loadReported({2, 5, 2}, Now);
   CHECK(fill(Millis(100)) == share());
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -1,9 +1,9 @@
-// What callers see: one search ends every replica that begins it, and for
-// seconds nobody's searches are answered. What happens: each of its parts loses
-// its replica within milliseconds and is sent on to the next one at once, so
-// that two attempts empty all shards. Why it is told from others: a request
-// that only ran beside it, or whose replica ended for another reason, has a
-// part that ends well; until one has, it is at one replica at a time.
+// Guards against one search that crashes the replicas of all shards, after
+// which no searches are answered for seconds. Each of its parts loses its
+// replica within milliseconds; if each were retried at once, two attempts would
+// be enough. Other requests are told apart because one of their parts succeeds,
+// even if they ran beside it or lost a replica for another reason. Until then,
+// such a request is sent to one replica at a time.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -33,9 +33,9 @@
     S.ReplicaCrashed = true;
     return S;
   }
-  ForwardRun careful(const Route &R, Caution Care, unsigned Before) {
+  ForwardRun careful(const Route &R, Caution CautionLevel, unsigned Before) {
     ForwardRun Run = run(R);
-    Run.setCaution(Care, Before);
+    Run.setCaution(CautionLevel, Before);
     return Run;
   }
   RunOutput reply(ForwardRun &R, unsigned Send, SendResult Result) {
@@ -46,7 +46,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(CrashFixture, "nothing is sent again while all it had ends") {
+TEST_CASE_FIXTURE(CrashFixture,
+                  "nothing is retried while every replica crashes") {
   ForwardRun R = run(route(shards()));
   REQUIRE(R.begin(Shared, Now).Start.size() == 4);
   for (unsigned Send : {0, 1, 2, 3}) {
@@ -60,7 +61,7 @@
   CHECK(R.stats().Crashed == 4);
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "the last open send may still end well") {
+TEST_CASE_FIXTURE(CrashFixture, "the last open send may still succeed") {
   ForwardRun R = run(route(shards()));
   R.begin(Shared, Now);
   for (unsigned Send : {0, 1, 2})
@@ -68,12 +69,12 @@
   CHECK(reply(R, 3, answered()).Start.size() == 3);
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "a request in flight beside it goes on") {
+TEST_CASE_FIXTURE(CrashFixture, "a request in flight beside it continues") {
   ForwardRun R = run(route(shards()));
   R.begin(Shared, Now);
   CHECK(reply(R, 0, crashed()).Start.empty());
   CHECK(reply(R, 1, crashed()).Start.empty());
-  // One of its parts is in: it is not this request. All others go on at once.
+  // One part succeeded: this request is not the cause. All others continue.
   RunOutput Out = reply(R, 2, answered());
   CHECK(Out.Start.size() == 2);
   CHECK(R.succeeded());
@@ -84,27 +85,28 @@
   CHECK(std::get<MergedAnswer>(*Out.Answer).Missing == 0);
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "two replicas that ended are tried on from") {
+TEST_CASE_FIXTURE(CrashFixture, "a request is retried after two crashes") {
   ForwardRun R = run(route(shards()));
   R.begin(Shared, Now);
   reply(R, 0, crashed());
   reply(R, 1, crashed());
   reply(R, 2, ended(SendStatus::Rejected));
   RunOutput Out = reply(R, 3, ended(SendStatus::Rejected));
-  CHECK(Out.Start.size() == 1); // One, and nothing beside it.
+  CHECK(Out.Start.size() == 1); // One send, and no other beside it.
   Out = reply(R, 4, answered());
   CHECK(Out.Start.size() == 3);
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "a suspect is at one replica at a time") {
+TEST_CASE_FIXTURE(CrashFixture,
+                  "a suspected request is sent to one replica at a time") {
   ForwardRun R = careful(route(shards()), Caution::OneAtATime, 1);
   CHECK(R.begin(Shared, Now).Start.size() == 1);
   // It is not hedged, however long it takes.
   CHECK(tickUntil(R, Now + Millis(60)).Start.empty());
-  SUBCASE("until a run ends well") {
+  SUBCASE("until a send succeeds") {
     CHECK(reply(R, 0, answered()).Start.size() == 3);
   }
-  SUBCASE("and is given up with the third replica in all") {
+  SUBCASE("and fails with the third replica in all") {
     CHECK(reply(R, 0, crashed()).Start.size() == 1);
     RunOutput Out = reply(R, 1, crashed());
     CHECK(Out.Start.empty());
@@ -115,29 +117,30 @@
 TEST_CASE_FIXTURE(CrashFixture, "a trial is one send") {
   ForwardRun R = careful(route(shards()), Caution::OneSend, EnoughCrashes);
   REQUIRE(R.begin(Shared, Now).Start.size() == 1);
-  SUBCASE("a crash is final, and invites nobody to come back") {
+  SUBCASE("a crash is final, without a Retry-After time") {
     RunOutput Out = reply(R, 0, crashed());
     CHECK(Out.Start.empty());
     CHECK(own(Out).Code == ResultCode::RequestCrashes);
     CHECK(own(Out).RetryAfter == Duration(0));
   }
-  SUBCASE("a full replica proves nothing, and that nothing ran") {
+  SUBCASE("a full replica proves nothing except that nothing ran") {
     RunOutput Out = reply(R, 0, ended(SendStatus::Rejected));
     CHECK(Out.Start.empty());
     CHECK(own(Out).Code == ResultCode::UpstreamShed);
     CHECK(own(Out).RetryAfter > Duration(0));
   }
-  SUBCASE("a lost reply is not sent for again") {
+  SUBCASE("a lost reply is not retried") {
     RunOutput Out = reply(R, 0, ended(SendStatus::Lost));
     CHECK(Out.Start.empty());
     REQUIRE(Out.Answer);
   }
-  SUBCASE("a run that ends well is answered whole") {
+  SUBCASE("a successful send leads to a complete answer") {
     CHECK(reply(R, 0, answered()).Start.size() == 3);
   }
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "a plain request goes on to another replica") {
+TEST_CASE_FIXTURE(CrashFixture,
+                  "a plain request is retried at another replica") {
   ForwardRun R = run(route(ServiceName("a")));
   R.begin(Shared, Now);
   RunOutput Out = reply(R, 0, crashed());
@@ -148,7 +151,7 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture,
-                  "an action that crashed its replica is unknown") {
+                  "the outcome of an action whose replica crashed is unknown") {
   ForwardRun R = run(route(ServiceName("a"), RetrySemantics::AtMostOnce));
   R.begin(Shared, Now);
   RunOutput Out = reply(R, 0, crashed());
@@ -169,7 +172,7 @@
     O.begin(Shared, Now);
   R.begin(Shared, Now);
   RunOutput Out = tickUntil(R, Now + Millis(30));
-  // Whatever there is room for, it is one send at most, and it ends.
+  // It sends at most one part, whatever room there is, and ends.
   CHECK(R.stats().Sends <= 1);
   tickUntil(R, Now + Seconds(1));
   CHECK(R.answered());
--- a/tests/failure/DeadReplicasRest.cpp
+++ b/tests/failure/DeadReplicasRest.cpp
@@ -1,7 +1,7 @@
-// What callers see: one replica refuses connections, or takes requests and
-// answers nothing; after a few of them nobody is sent there. What happens: it
-// rests and is tried with a connection that costs no caller; when that works it
-// is used again, and one more loss sends it back to rest. A pause is neither.
+// Guards against callers that pay for a dead replica: one that refuses
+// connections, or accepts requests and answers nothing. After a few failures it
+// is ejected and probed with a connection of its own. When the probe succeeds
+// it is used again, and one more loss ejects it. A pause does not.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ReplicaFixture, "a refused connection sends it to rest") {
+TEST_CASE_FIXTURE(ReplicaFixture, "a refused connection ejects a replica") {
   send(SendStatus::NotSent, Millis(1));
   CHECK(R.ejected());
   CHECK_FALSE(R.takeProbe(Now));
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "rests grow while trials fail, up to a bound") {
+                  "ejections get longer while probes fail, up to a bound") {
   send(SendStatus::NotSent, Millis(1));
   Duration Longest{};
   for (int I = 0; I < 8; ++I) {
@@ -62,7 +62,8 @@
   CHECK(Longest <= Seconds(4));
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "losses in a row do, one alone does not") {
+TEST_CASE_FIXTURE(ReplicaFixture,
+                  "consecutive losses eject a replica, a single one does not") {
   send(SendStatus::Lost, Millis(5));
   send(SendStatus::Answered, Millis(10));
   send(SendStatus::Lost, Millis(5));
@@ -73,13 +74,14 @@
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "sends that outlast every pause count as lost") {
+                  "sends that take longer than any pause count as lost") {
   for (int I = 0; I < 3; ++I)
     send(SendStatus::Abandoned, Millis(400));
   CHECK(R.ejected());
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "sends abandoned within a pause do not") {
+TEST_CASE_FIXTURE(ReplicaFixture,
+                  "sends abandoned within a pause do not count") {
   for (int I = 0; I < 9; ++I)
     send(SendStatus::Abandoned, Millis(150));
   CHECK_FALSE(R.ejected());
@@ -96,11 +98,12 @@
   Now += Millis(90);
   R.sendEnded(Started, SendStatus::Answered, Work, Now);
   CHECK_FALSE(R.stalled(Work, Now));
-  // One late answer is forgotten within seconds.
+  // The effect of one late answer decays within seconds.
   CHECK(R.predicted(Work, Now + Seconds(5)) < Usual + Millis(10));
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "quick failures do not make it look quick") {
+TEST_CASE_FIXTURE(ReplicaFixture,
+                  "fast failures do not make a replica look fast") {
   Duration Usual = R.predicted(Work, Now);
   for (int I = 0; I < 10; ++I)
     send(SendStatus::Rejected, Millis(1));
--- a/tests/failure/HedgesDecideAnswers.cpp
+++ b/tests/failure/HedgesDecideAnswers.cpp
@@ -1,5 +1,5 @@
-// Guards against second sends that are refused to the parts an answer still
-// needs, while requests wait for replicas.
+// Guards against hedges that are denied to the parts an answer still needs
+// while requests wait for admission.
 #include "ForwardFixture.h"
 
 using namespace shallot;
@@ -7,8 +7,8 @@
 
 namespace {
 
-struct PressedFixture : ForwardFixture {
-  PressedFixture() {
+struct QueuedRequestsFixture : ForwardFixture {
+  QueuedRequestsFixture() {
     Shared.Rules.Retries.Constant = 100;
     Shared.RequestsQueued = true;
     for (const char *S : {"a", "b", "c", "d"})
@@ -16,7 +16,7 @@
         add(std::string(S) + "-" + Zone, S, Zone);
   }
 
-  /// A search over four shards that needs \p Least of them.
+  /// A search over four shards with a minimum coverage of \p Least.
   ForwardRun search(double Least) {
     ShardFanOut Fan;
     for (const char *S : {"a", "b", "c", "d"})
@@ -29,22 +29,25 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(PressedFixture, "the parts that an answer lacks are hedged") {
+TEST_CASE_FIXTURE(QueuedRequestsFixture,
+                  "parts that an answer needs are hedged") {
   ForwardRun R = search(0.5);
   REQUIRE(R.begin(Shared, Now).Start.size() == 4);
   Now += Millis(5);
   R.replied(Shared, 0, answered(), Now);
-  // One part is in and two are needed; any of the three open ones decides.
+  // One part succeeded and two are needed; any of the three open ones decides.
   CHECK_FALSE(tickUntil(R, Now + Millis(100)).Start.empty());
 }
 
-TEST_CASE_FIXTURE(PressedFixture, "parts are not hedged while many are open") {
+TEST_CASE_FIXTURE(QueuedRequestsFixture,
+                  "parts are not hedged while many are open") {
   ForwardRun R = search(1);
   REQUIRE(R.begin(Shared, Now).Start.size() == 4);
   CHECK(tickUntil(R, Now + Millis(60)).Start.empty());
 }
 
-TEST_CASE_FIXTURE(PressedFixture, "without a spare part the last two decide") {
+TEST_CASE_FIXTURE(QueuedRequestsFixture,
+                  "with full coverage required the last two parts are hedged") {
   ForwardRun R = search(1);
   REQUIRE(R.begin(Shared, Now).Start.size() == 4);
   Now += Millis(5);
--- a/tests/failure/OverloadIsTurnedAway.cpp
+++ b/tests/failure/OverloadIsTurnedAway.cpp
@@ -1,8 +1,8 @@
-// What callers see: while more come than the replicas can serve, some are told
-// at once that nothing ran and when to come back; the others are answered as
-// usual. What happens: replicas report long queues and turn sends away, so
-// fewer queries start; the rest wait for a moment or are refused. Why by group:
-// what one set of services cannot take says nothing about another.
+// Guards against queries that start without capacity for all of their parts.
+// Under overload, replicas report long queues and reject sends; fewer queries
+// start, and the others wait briefly or are refused at once as "not run", with
+// a Retry-After time. Limits are per group of routes: the load of one set of
+// services says nothing about another.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -44,7 +44,8 @@
   AdmissionDecision offer(const Route &R) {
     return Admit.offer(R, ++Last, Now + R.Timeout, Now);
   }
-  /// Queries come one a millisecond and end 30 ms later with \p S.
+  /// Offers one query per millisecond; each ends 30 ms after its start with \p
+  /// S.
   void load(const Route &R, int Count, const LoadSample &S) {
     for (int I = 0; I < Count; ++I) {
       Now += Millis(1);
@@ -59,7 +60,7 @@
         Running.push_back({Last, Now + Millis(30)});
     }
   }
-  /// Offers until one must wait and returns it; the others run.
+  /// Starts requests until one must wait, and returns that one.
   TicketId fill(const Route &R) {
     for (int I = 0; I < 100; ++I) {
       AdmissionDecision V = offer(R);
@@ -88,7 +89,7 @@
   CHECK(Admit.report(search()).Limit > Before / 2);
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "whoever is turned away is told when") {
+TEST_CASE_FIXTURE(AdmissionFixture, "a refusal says when to retry") {
   load(search(), 1000, queued(Millis(90)));
   unsigned Refused = 0;
   for (int I = 0; I < 200; ++I) {
@@ -111,7 +112,8 @@
   CHECK(offer(pull()).What == AdmissionAction::Start);
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "the most urgent that wait start first") {
+TEST_CASE_FIXTURE(AdmissionFixture,
+                  "the most urgent waiting requests start first") {
   TicketId Patient = fill(search());
   REQUIRE(offer(check()).What == AdmissionAction::Wait);
   TicketId Urgent = Last;
@@ -123,7 +125,7 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "what was learnt stays when routes move to other services") {
+                  "the limit is kept when routes move to other services") {
   load(search(), 1000, queued(Millis(90)));
   std::size_t Limit = Admit.report(search()).Limit;
   Route Moved = search();
@@ -136,7 +138,7 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a waiting request whose route is gone is not lost") {
+                  "a waiting request whose route is removed is answered") {
   TicketId Waits = fill(check());
   install({pull()});
   Now += Seconds(1);
@@ -148,8 +150,9 @@
     CHECK(infoOf(One.Final.Code).HttpStatus != 404);
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a query that only waits for stragglers makes room") {
+TEST_CASE_FIXTURE(
+    AdmissionFixture,
+    "a query that waits for stragglers only frees its admission") {
   add("a-1", "a", "here");
   add("b-1", "b", "here");
   ForwardRun R = run(search());
@@ -160,8 +163,9 @@
   CHECK(R.freesAdmission());
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a replica that sheds whatever waits is sick, not full") {
+TEST_CASE_FIXTURE(
+    AdmissionFixture,
+    "a replica that rejects at any queue length is faulty, not full") {
   add("b-1", "b", "here");
   auto Shed = [&](unsigned Waiting) {
     SendResult S = ended(SendStatus::Rejected);
@@ -180,7 +184,8 @@
   CHECK(Shed(12));
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "a caller that leaves frees its place") {
+TEST_CASE_FIXTURE(AdmissionFixture,
+                  "a caller that disconnects frees its admission") {
   TicketId Waits = fill(search());
   Admit.cancel(Waits);
   Admit.cancel(Running.back().first);
--- a/tests/failure/PartsAreMissing.cpp
+++ b/tests/failure/PartsAreMissing.cpp
@@ -1,7 +1,8 @@
-// What the caller sees: shards fail, hang or are gone, and the answer says what
-// it lacks, in time, or is an error at once when too much is lacking. What
-// happens: sends are lost, rejected or stay open; others are tried within the
-// route's attempts; when the objective is about to pass, what is there counts.
+// Guards against late or wrong answers when shards fail, hang or have no
+// replica. Lost, rejected and slow sends are retried within the route's
+// attempts. When the latency objective is about to pass, the answer is sent
+// with the parts at hand and says which are missing; if too many are, it is an
+// error at once.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +26,7 @@
     Fan.MinCoverage = MinCoverage;
     return run(route(Fan));
   }
-  /// Answers of the first three parts.
+  /// Replies for the first three parts.
   void answerThree(ForwardRun &R) {
     for (unsigned Send = 0; Send < 3; ++Send)
       CHECK_FALSE(R.replied(Shared, Send,
@@ -43,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ShardFixture, "near replicas are asked first") {
+TEST_CASE_FIXTURE(ShardFixture, "near replicas are preferred") {
   ForwardRun R = search();
   RunOutput Out = R.begin(Shared, Now);
   REQUIRE(Out.Start.size() == 4);
@@ -51,7 +52,7 @@
     CHECK(S.To->distance() == Distance::SameZone);
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "a straggler is asked for again elsewhere") {
+TEST_CASE_FIXTURE(ShardFixture, "a straggler is hedged at another replica") {
   ForwardRun R = search();
   R.begin(Shared, Now);
   answerThree(R);
@@ -63,8 +64,9 @@
   CHECK(merged(Out).Missing == 0);
 }
 
-TEST_CASE_FIXTURE(ShardFixture,
-                  "in time and partial goes before late and whole") {
+TEST_CASE_FIXTURE(
+    ShardFixture,
+    "a partial answer in time is preferred to a late complete one") {
   ForwardRun R = search();
   Instant Began = Now;
   R.begin(Shared, Now);
@@ -74,7 +76,8 @@
   CHECK(merged(Out).Signatures.size() == 3);
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "below the least share it waits for the rest") {
+TEST_CASE_FIXTURE(ShardFixture,
+                  "below the minimum coverage it waits for the rest") {
   ForwardRun R = search(1.0);
   Instant Began = Now;
   R.begin(Shared, Now);
@@ -83,7 +86,7 @@
   CHECK(merged(R.replied(Shared, 3, answered(), Now)).Missing == 0);
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "the deadline ends it with an error") {
+TEST_CASE_FIXTURE(ShardFixture, "it fails at the deadline") {
   ForwardRun R = search(1.0);
   Instant Began = Now;
   R.begin(Shared, Now);
@@ -92,7 +95,7 @@
   CHECK(own(Out).Code == ResultCode::DeadlineExceeded);
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "a part that cannot be had ends it at once") {
+TEST_CASE_FIXTURE(ShardFixture, "it fails at once when a part cannot be had") {
   ForwardRun R = search(1.0);
   R.begin(Shared, Now);
   RunOutput Out;
@@ -103,7 +106,7 @@
   CHECK(own(Out).Code == ResultCode::ConnectionClosed);
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "a part without a signature is no part") {
+TEST_CASE_FIXTURE(ShardFixture, "a reply without a signature does not count") {
   ForwardRun R = search(1.0);
   R.begin(Shared, Now);
   RunOutput Out = R.replied(Shared, 0, answered("x", 200, ""), Now + Millis(3));
@@ -111,7 +114,7 @@
   CHECK_FALSE(Out.Answer);
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "a failure with a signature is no part") {
+TEST_CASE_FIXTURE(ShardFixture, "a failure with a signature does not count") {
   ForwardRun R = search(1.0);
   R.begin(Shared, Now);
   CHECK(
@@ -127,13 +130,13 @@
   CHECK(Out.Start.empty());
   CHECK(provesNotRun(own(Out).Code));
   CHECK(own(Out).RetryAfter > Duration(0));
-  // Where three of four are enough, it is answered without it.
+  // With a minimum coverage of three in four, it is answered without this part.
   ForwardRun Partial = search(0.75);
   CHECK(Partial.begin(Shared, Now).Start.size() == 3);
 }
 
 TEST_CASE_FIXTURE(ShardFixture,
-                  "work that a caller left ends within half a second") {
+                  "sends of a disconnected caller end within half a second") {
   ForwardRun R = search();
   R.begin(Shared, Now);
   Instant Left = Now + Millis(10);
@@ -156,7 +159,7 @@
 }
 
 TEST_CASE_FIXTURE(ShardFixture,
-                  "what is handed to a replica shrinks with the time") {
+                  "the deadline given to a replica shrinks with time") {
   ForwardRun R = search();
   Instant Began = Now;
   RunOutput First = R.begin(Shared, Now);
@@ -168,9 +171,9 @@
 }
 
 TEST_CASE_FIXTURE(ShardFixture,
-                  "without room anywhere it is refused soon, not held") {
-  // Every replica has as many sends as this daemon may have connections, and
-  // says that requests wait there, so that no more are tried.
+                  "without room at any replica it is refused soon") {
+  // Every replica has as many sends as this daemon may have connections and
+  // reports waiting requests, so that no further connections are opened.
   for (const char *Shard : {"a", "b", "c", "d"}) {
     ServiceInfo Info{ServiceName(Shard), 100};
     ReplicaCriteria C;
@@ -190,8 +193,8 @@
 }
 
 TEST_CASE_FIXTURE(ShardFixture,
-                  "nothing is sent that cannot be answered in time") {
-  // What is left of the caller's time is less than half of the work takes.
+                  "no request is sent that cannot be answered in time") {
+  // The caller's remaining time is less than half of the service time.
   for (int I = 0; I < 60; ++I)
     Work.of("r", Millis(120)).observe(Millis(100));
   ForwardRun R = run(route(ServiceName("a")), Millis(40));
@@ -212,7 +215,8 @@
   CHECK_FALSE(provesNotRun(own(Out).Code));
 }
 
-TEST_CASE_FIXTURE(ShardFixture, "once a part ran, the others wait for room") {
+TEST_CASE_FIXTURE(ShardFixture,
+                  "once a part has run, the others wait for room") {
   ServiceInfo Info{ServiceName("d"), 100};
   ReplicaCriteria C;
   C.Service = &Info;
--- a/tests/failure/RegionsBindEverySend.cpp
+++ b/tests/failure/RegionsBindEverySend.cpp
@@ -1,5 +1,5 @@
-// Guards against second sends of a request that leave the regions where it may
-// be served: hedges, retries, and whatever follows a change of configuration.
+// Guards against further sends of a request that leave the regions where it may
+// be served: hedges, retries, and sends after a change of configuration.
 #include "ForwardFixture.h"
 
 using namespace shallot;
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE_FIXTURE(RegionsFixture,
-                  "a newer configuration binds what is already open") {
+                  "a newer configuration applies to open requests") {
   add("a1", "a", "here");
   add("a2", "a", "abroad");
   ForwardRun R = run(route(ServiceName("a")));
@@ -89,8 +89,8 @@
   CHECK(own(Out).Code == ResultCode::NoAllowedReplica);
 }
 
-TEST_CASE_FIXTURE(RegionsFixture, "what a route and its tenant allow both "
-                                  "bind") {
+TEST_CASE_FIXTURE(RegionsFixture, "the regions of a route and its "
+                                  "tenant are intersected") {
   Route R = inRegions(ServiceName("a"), {Region("here"), Region("abroad")});
   R.Owner = Tenant("firm");
   auto C = attempt([&] {
--- a/tests/failure/ReplicasStartAgain.cpp
+++ b/tests/failure/ReplicasStartAgain.cpp
@@ -1,9 +1,9 @@
-// What callers see: nothing, while replicas crash and start again under the id
-// that they had. What happens: the registration comes with a later start time;
-// slowness, losses and open sends of the process before say nothing of the new
-// one. Words of the old process come late, by any way and in any order. Why
-// they are told apart by the start time: the id, the address and the counts
-// may all be the same.
+// Guards against state of an ended process that is applied to its successor
+// under the same id. The new registration has a later start time; slowness,
+// losses and open sends of the old process do not apply to it, and
+// registrations of the old process may arrive late, by any path and in any
+// order. Only the start time tells them apart: the id, the address and the
+// counts may be the same.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -45,7 +45,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(RestartFixture, "what was seen of the one before is void") {
+TEST_CASE_FIXTURE(RestartFixture,
+                  "observations of the previous incarnation are dropped") {
   Replicas.put(entry(Before), Now);
   ReplicaPtr Old = chosen();
   loseThree(Old);
@@ -63,30 +64,32 @@
   CHECK_FALSE(New->ejected());
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "at another address it is found there") {
+TEST_CASE_FIXTURE(RestartFixture, "it is used at its new address") {
   Replicas.put(entry(Before), Now);
   Replicas.put(entry(After, 2), Now);
   REQUIRE(chosen());
   CHECK(chosen()->entry().At.Port == 2);
-  // The old process's last heartbeat reaches the store behind the new one's.
+  // The old process's last heartbeat reaches the store after the new one's.
   Replicas.put(entry(Before, 1), Now);
   CHECK(chosen()->entry().At.Port == 2);
   CHECK(Replicas.size() == 1);
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "a late word that it drains empties nobody") {
+TEST_CASE_FIXTURE(RestartFixture,
+                  "a late drain notice of the old process is ignored") {
   Replicas.put(entry(Before), Now);
   Replicas.put(entry(After), Now);
   ReplicaEntry Draining = entry(Before);
   Draining.Leaving = true;
   Replicas.put(Draining, Now);
   REQUIRE(chosen());
-  // In a list as well: after an outage, or when history was compacted.
+  // The same in a list, as after an outage or when history was compacted.
   Replicas.replaceAll({Draining}, Now);
   CHECK(chosen());
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "one that drained starts again and serves") {
+TEST_CASE_FIXTURE(RestartFixture,
+                  "a replica that drained and restarted serves") {
   ReplicaEntry Draining = entry(Before);
   Draining.Leaving = true;
   Replicas.put(Draining, Now);
@@ -98,7 +101,7 @@
 }
 
 TEST_CASE_FIXTURE(RestartFixture,
-                  "an old word brings nothing back that was removed") {
+                  "an old registration does not restore a removed replica") {
   Replicas.put(entry(After), Now);
   Replicas.remove(UpstreamId("r"), Now);
   Now += Seconds(10);
@@ -109,7 +112,8 @@
   CHECK(Replicas.size() == 0);
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "it starts again while the store is away") {
+TEST_CASE_FIXTURE(RestartFixture,
+                  "a restart during a store outage is detected") {
   Replicas.put(entry(Before), Now);
   Replicas.storeLost();
   ReplicaPtr Old = chosen();
@@ -121,10 +125,10 @@
   CHECK(chosen() != Old);
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "a clock that was set back is found out") {
+TEST_CASE_FIXTURE(RestartFixture, "a clock that was set back is detected") {
   Replicas.put(entry(After), Now);
   ReplicaPtr Old = chosen();
-  // The new process says so at each heartbeat; nobody contradicts it.
+  // The new process registers at each heartbeat; nothing contradicts it.
   Replicas.put(entry(Before, 2), Now);
   Now += Seconds(3);
   Replicas.put(entry(Before, 2), Now);
@@ -137,7 +141,8 @@
   CHECK(chosen()->entry().StartedUnixMs == Before);
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "an old word that is contradicted is not") {
+TEST_CASE_FIXTURE(RestartFixture,
+                  "a contradicted old registration is not accepted") {
   Replicas.put(entry(After), Now);
   Replicas.put(entry(Before, 2), Now);
   Now += Seconds(2);
@@ -147,7 +152,8 @@
   CHECK(chosen()->entry().At.Port == 1);
 }
 
-TEST_CASE_FIXTURE(RestartFixture, "without a start time nothing flaps") {
+TEST_CASE_FIXTURE(RestartFixture,
+                  "a registration without a start time changes nothing") {
   Replicas.put(entry(After), Now);
   ReplicaPtr Known = chosen();
   Replicas.put(entry(0), Now);
@@ -159,7 +165,7 @@
 }
 
 TEST_CASE_FIXTURE(RestartFixture,
-                  "an action under way across the restart may have run") {
+                  "an action in flight during the restart may have run") {
   Replicas.put(entry(Before), Now);
   ForwardRun Run = run(route(ServiceName("a"), RetrySemantics::AtMostOnce));
   RunOutput Out = Run.begin(Shared, Now);
--- a/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
+++ b/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
@@ -1,8 +1,7 @@
-// What callers see: a fifth of the replicas fails and everything is sent again.
-// In what order: six daemons get requests, want an extra send for each, and one
-// of them is restarted with an empty memory. Why it must hold: extra load comes
-// when there is too much already, so over any ten seconds and all daemons the
-// extra sends stay within a part of the requests and a constant.
+// Guards against retries that add load when there is already too much. A fifth
+// of the replicas fails, six daemons want a further send for each request, and
+// one of them restarts without its counts. In any ten seconds, the further
+// sends of all daemons stay within a fraction of the requests plus a constant.
 #include "shallotshift/forward.h"
 
 #include <algorithm>
@@ -12,7 +11,8 @@
 
 namespace {
 
-/// The most extra sends beyond the allowance in any window that ends at one.
+/// The greatest excess over the allowance in any window that ends at a further
+/// send.
 double worstExcess(const std::vector<Instant> &Requests,
                    const std::vector<Instant> &Extras,
                    const RetryAllowance &A) {
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("all daemons together keep the allowance in every window") {
+TEST_CASE("all daemons together stay within the allowance in every window") {
   RetryAllowance A{0.2, 52, Seconds(10)};
   constexpr std::size_t Daemons = 6;
   Random Rng(3);
@@ -56,7 +56,7 @@
   CHECK(worstExcess(Requests, Extras, A) <= 0);
 }
 
-TEST_CASE("a daemon that has seen nothing has its share of the constant") {
+TEST_CASE("a daemon without requests has its share of the constant") {
   RetryAllowance A{0.2, 52, Seconds(10)};
   RetryBudget B;
   Instant Now{Seconds(500)};
--- a/tests/failure/VanishedReplicasStandIn.cpp
+++ b/tests/failure/VanishedReplicasStandIn.cpp
@@ -1,7 +1,8 @@
-// What callers see: nothing, while registrations of live replicas lapse. What
-// happens: the store is away or forgets, entries vanish, and some come back
-// when it returns; one that stays away is gone. Why the hold has an end: a
-// replica that leaves without a word serves on for a few seconds only.
+// Guards against a service without replicas while registrations of live ones
+// lapse, because the store is unreachable or lost entries. Some entries return
+// with the store; a replica whose entry does not has left. The hold is bounded,
+// since a replica that leaves without notice serves for a few more seconds
+// only.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -30,14 +31,14 @@
 } // namespace
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "a vanished replica is left while there is another") {
+                  "a vanished replica is unused while there is another") {
   CHECK(chosen() == "near");
   vanish("near");
   CHECK(chosen() == "far");
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "the last ones stand in for a while, then are gone") {
+                  "the last replicas are held for a while, then removed") {
   vanish("near");
   vanish("far");
   CHECK(chosen() == "near");
@@ -77,7 +78,7 @@
   CHECK(chosen() == "none");
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "what a list does not name has vanished") {
+TEST_CASE_FIXTURE(ReplicaFixture, "a replica that a list lacks has vanished") {
   Replicas.replaceAll({{UpstreamId("far"),
                         ServiceName("a"),
                         {"10.0.0.1", 1},
@@ -94,7 +95,7 @@
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "an address that moved to another service is new") {
+                  "a replica that moved to another service is new") {
   Replicas.put({UpstreamId("near"),
                 ServiceName("b"),
                 {"10.0.0.1", 1},
--- a/tests/performance/ForwardUnderTrouble.cpp
+++ b/tests/performance/ForwardUnderTrouble.cpp
@@ -1,8 +1,8 @@
-// Replays loads with troubles in virtual time and judges what callers get: the
-// mean credit of a query (the square of the share of its parts that are in, a
-// tenth when it is late), over seeds, and the bound on extra sends. The figures
-// repeat exactly, so the bounds are close below what is measured; each case
-// says what it measured.
+// Simulates loads with failures in virtual time and checks, over several seeds,
+// the mean credit of a query (the square of the fraction of its parts that
+// succeeded, a tenth if it is late) and the bound on further sends. The
+// simulation is deterministic, so the bounds are close to the measured figures,
+// which each case prints.
 #include "ForwardWorld.h"
 
 #include <cstdio>
@@ -17,12 +17,13 @@
 
 struct Outcome {
   double Worth = 0;
-  double Extra = 0; ///< Extra sends against first sends.
+  double Extra = 0; ///< Further sends relative to first sends.
 };
 
 using Prepare = void (*)(ForwardWorld &);
 
-/// Four seconds to learn, then the trouble; figures of \p For after \p Settle.
+/// Runs four seconds of warm-up, then applies \p Trouble; the figures cover \p
+/// For after \p Settle.
 Outcome replay(const char *Name, WorldShape Shape, Prepare Trouble,
                Duration Settle, Duration For) {
   WorldFigures Sum;
@@ -46,7 +47,7 @@
 
 void nothing(ForwardWorld &) {}
 
-/// One of three replicas of every third shard, as "across" troubles fall.
+/// Applies \p T to one of three replicas of every third shard.
 void eachThird(ForwardWorld &W, const Trouble &T) {
   for (unsigned Shard = 0; Shard < 10; Shard += 3)
     W.trouble(Shard, Shard % 3) = T;
@@ -54,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("pauses cost a hedge, not the answer") {
+TEST_CASE("hedges cover pauses") {
   Outcome Hedged = replay("pauses", {}, nothing, Duration(0), Seconds(10));
   WorldShape Alone;
   Alone.MaxAttempts = 1;
@@ -78,8 +79,9 @@
   CHECK(O.Extra < 0.2);
 }
 
-/// Many shards, of which two may be missing, and daemons that each see little:
-/// a query meets every slow replica, and each daemon pays for the lesson.
+/// Many shards, of which two may be missing, and daemons that each see few
+/// requests: a query meets every slow replica, and each daemon has to detect it
+/// by itself.
 WorldShape manyShards() {
   WorldShape S;
   S.Shards = 54;
@@ -97,8 +99,7 @@
   return S;
 }
 
-TEST_CASE(
-    "a daemon that sees little learns of slow replicas in a few answers") {
+TEST_CASE("a daemon with few requests detects slow replicas in a few answers") {
   Outcome Calm =
       replay("54 shards", manyShards(), nothing, Duration(0), Seconds(8));
   Outcome Slow = replay(
@@ -111,11 +112,11 @@
       },
       Duration(0), Seconds(8));
   CHECK(Calm.Worth > 0.99);
-  CHECK(Slow.Worth > 0.97); // 0.962 with one step for every late answer.
+  CHECK(Slow.Worth > 0.97); // 0.962 with one fixed step for every late answer.
   CHECK(Slow.Extra < 0.1);
 }
 
-TEST_CASE("dark replicas are found and left alone") {
+TEST_CASE("unreachable replicas are detected and avoided") {
   Outcome O = replay(
       "dark", {},
       [](ForwardWorld &W) {
@@ -127,7 +128,7 @@
   CHECK(O.Worth > 0.97);
 }
 
-TEST_CASE("replicas that shed lose their load to those that do not") {
+TEST_CASE("load moves away from replicas that reject requests") {
   Outcome O = replay(
       "shed 0.6", {},
       [](ForwardWorld &W) {
@@ -152,8 +153,8 @@
   CHECK(O.Extra < 0.2);
 }
 
-/// Twelve times 30 queries a second in each of three zones, where the replicas
-/// of a shard together finish 800 a second.
+/// Twelve times 30 queries per second in each of three zones, where the
+/// replicas of a shard together complete 800 per second.
 WorldShape manyCallers() {
   WorldShape S;
   S.QueriesPerSecond = 30;
@@ -173,13 +174,13 @@
       replay("burst x12, all start", Open, Burst, Seconds(1), Seconds(5));
   Outcome With =
       replay("burst x12", manyCallers(), Burst, Seconds(1), Seconds(5));
-  // Of what comes, 0.74 could be served by replicas that are never idle.
+  // Replicas that are never idle could serve 0.74 of the queries.
   CHECK(Without.Worth < 0.3);
   CHECK(With.Worth > 0.4);
   CHECK(With.Extra < 0.1);
 }
 
-TEST_CASE("a daemon whose near replicas are slow takes over at the far ones") {
+TEST_CASE("a daemon whose near replicas are slow uses remote ones") {
   WorldShape Shape = manyCallers();
   Shape.QueriesPerSecond = 75;
   Shape.FarMs = 20;
@@ -196,14 +197,14 @@
   CHECK(O.Worth > 0.9);
 }
 
-TEST_CASE("four fifths of what the replicas can do is served") {
+TEST_CASE("four fifths of the replicas' capacity is served") {
   Outcome O = replay(
       "burst x7", manyCallers(), [](ForwardWorld &W) { W.burst(7); },
       Seconds(1), Seconds(5));
   CHECK(O.Worth > 0.9);
 }
 
-TEST_CASE("when everything fails the extra sends stay bounded") {
+TEST_CASE("when everything fails the further sends stay bounded") {
   WorldShape Shape;
   ForwardWorld W(Shape, 3);
   W.runUntil(Seconds(4));
