--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -81,7 +81,7 @@
   bool ReplicaCrashed = false;
 };
 
-/// Rules of the operator and the settings for all requests.
+/// What the operator and the settings allow for all requests.
 struct ForwardRules {
   RetryAllowance Retries;
 
@@ -117,7 +117,7 @@
 struct StartSend {
   unsigned Send = 0;
   ReplicaPtr To;
-  Duration TimeLeft{}; ///< The deadline that the replica is given.
+  Duration TimeLeft{}; ///< The time that the replica is given.
 };
 
 /// The greatest records of the parts that succeeded.
@@ -224,8 +224,8 @@
     /// Queueing delay at the replica that replied last, if it reported its
     /// queue.
     Duration Queued{};
-    bool FoundReplicaFull =
-        false; ///< A replica rejected a send because its queue was full.
+    /// A replica rejected a send because its queue was full.
+    bool FoundReplicaFull = false;
     /// Held back until a send of the request succeeds.
     bool Held = false;
     /// How the last send of a held part ended.
