--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -50,7 +50,7 @@
 
 /// Service times vary by a third about their median; almost none is below half
 /// of it.
-constexpr int MinWorkDivisor = 2;
+constexpr int MinServiceTimeDivisor = 2;
 
 bool mayRetryStatus(int Status) { return Status >= 500; }
 
@@ -88,8 +88,9 @@
   Stats.Parts = static_cast<unsigned>(Parts.size());
 }
 
-Duration ForwardRun::workEstimate(ForwardShared &S) const {
-  return S.Work.of(Request.Matched->Name, Request.Matched->Objective).median();
+Duration ForwardRun::serviceTime(ForwardShared &S) const {
+  return S.ServiceTimes.of(Request.Matched->Name, Request.Matched->Objective)
+      .median();
 }
 
 RunOutput ForwardRun::begin(ForwardShared &S, Instant Now) {
@@ -119,7 +120,7 @@
                                    unsigned Index, Instant Now) const {
   ReplicaCriteria C;
   C.Service = &serviceOf(P);
-  C.Work = workEstimate(S);
+  C.ServiceTime = serviceTime(S);
   C.Regions = ServingRegions;
   C.WithinShare = Request.Matched->Kind == RetrySemantics::AtMostOnce;
   std::vector<ReplicaPtr> Tried;
@@ -144,7 +145,7 @@
 /// that the caller can no longer be told "not run".
 bool ForwardRun::missesDeadline(ForwardShared &S, const Replica &To,
                                 Instant Now) const {
-  return Now + To.roundTrip() + workEstimate(S) / MinWorkDivisor >
+  return Now + To.roundTrip() + serviceTime(S) / MinServiceTimeDivisor >
          AnswerDeadline;
 }
 
@@ -175,14 +176,14 @@
 /// before the answer is expected.
 Instant ForwardRun::hedgeAt(ForwardShared &S, const Part &P,
                             const ReplicaPtr &To, Instant Now) const {
-  Duration Work = workEstimate(S);
-  Duration Expected = To->expected(Work, Now);
+  Duration ServiceTime = serviceTime(S);
+  Duration Expected = To->expected(ServiceTime, Now);
   Duration Rtt = To->roundTrip();
   double Factor = Fan ? HedgeFactor : PlainHedgeFactor;
   Duration HedgeDelay =
       Rtt + HedgeSlack + fromMillisF(toMillisF(Expected - Rtt) * Factor);
   Duration Other =
-      S.Replicas.fastestOther(P.Service, ServingRegions, To, Work, Now);
+      S.Replicas.fastestOther(P.Service, ServingRegions, To, ServiceTime, Now);
   if (Other == Duration::max())
     return Now + HedgeDelay;
   Duration Latest =
@@ -297,7 +298,7 @@
     return;
   unsigned Waiting = Result.Load->Waiting;
   double Slots = std::max(1U, Result.Load->Slots);
-  P.Queued = fromMillisF(toMillisF(workEstimate(S)) * Waiting / Slots);
+  P.Queued = fromMillisF(toMillisF(serviceTime(S)) * Waiting / Slots);
   P.FoundReplicaFull |= Result.How == SendStatus::Rejected &&
                         Waiting >= Slots && Waiting >= From.longestQueue();
 }
@@ -350,7 +351,7 @@
     break;
   }
   if (isUsable(*Result.Reply))
-    S.Work.of(Request.Matched->Name, Request.Matched->Objective)
+    S.ServiceTimes.of(Request.Matched->Name, Request.Matched->Objective)
         .observe(Now - X.Started - X.To->roundTrip());
   if (P.Succeeded)
     return; // The other send of a hedged pair was first.
@@ -383,13 +384,13 @@
                  mayRetryStatus(Result.Reply->Status);
   // For its replica, a failed run counts like a rejected send.
   X.To->sendEnded(X.Started, Failure ? SendStatus::Rejected : Result.How,
-                  workEstimate(S), Now);
+                  serviceTime(S), Now);
   if (Result.Opened)
     X.To->rtt().opened(*Result.Opened);
   if (Result.ConnectionRefused)
     X.To->allowance().refused(Now);
   if (Result.WrongReplica)
-    X.To->sendEnded(X.Started, SendStatus::NotSent, workEstimate(S), Now);
+    X.To->sendEnded(X.Started, SendStatus::NotSent, serviceTime(S), Now);
   if (Result.Load)
     X.To->loadReported(*Result.Load, Now);
   recordQueue(S, P, *X.To, Result);
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -95,7 +95,7 @@
 struct ForwardShared {
   ReplicaRegistry &Replicas;
   BudgetMap &Budgets;
-  WorkEstimates &Work;
+  ServiceTimeEstimates &ServiceTimes;
   Random &Rng;
   ForwardRules Rules;
   /// Requests wait for admission: capacity that a hedge takes is capacity that
@@ -283,7 +283,7 @@
   void finish(RunOutput &Out, ForwardAnswer Answer, Instant Now);
   void dropOpen(RunOutput &Out, Instant Now);
   void cancelUnstarted(RunOutput &Out, Instant Now);
-  Duration workEstimate(ForwardShared &S) const;
+  Duration serviceTime(ForwardShared &S) const;
 
   ForwardRequest Request;
   AllowedRegions ServingRegions; ///< Regions that may run it.
--- a/packages/forward/Replica.cpp
+++ b/packages/forward/Replica.cpp
@@ -121,9 +121,9 @@
 /// After a pause the answers arrive in a burst, and only the first of them was
 /// delayed by more than its own service time. Measured from the previous
 /// answer, the others show that the replica is as fast as before.
-void Replica::recordAnswer(Instant Started, Duration Work, Instant Now) {
+void Replica::recordAnswer(Instant Started, Duration ServiceTime, Instant Now) {
   Instant From = std::max(Started + roundTrip(), LastAnswer);
-  double Ratio = toMillisF(Now - From) / std::max(1.0, toMillisF(Work));
+  double Ratio = toMillisF(Now - From) / std::max(1.0, toMillisF(ServiceTime));
   double Seen = slowness(Now);
   bool Late = Ratio > Seen * LargeStepRatio;
   LateInARow = Late ? LateInARow + 1 : 0;
@@ -137,14 +137,14 @@
   LastAnswer = Now;
 }
 
-void Replica::sendEnded(Instant Started, SendStatus How, Duration Work,
+void Replica::sendEnded(Instant Started, SendStatus How, Duration ServiceTime,
                         Instant Now) {
   auto At = std::ranges::find(Open, Started);
   if (At != Open.end())
     Open.erase(At);
   switch (How) {
   case SendStatus::Answered:
-    recordAnswer(Started, Work, Now);
+    recordAnswer(Started, ServiceTime, Now);
     LostInARow = 0;
     EjectionTime = Duration(0);
     recordFailure(0, Now);
@@ -185,19 +185,19 @@
   return Load && Load->Waiting > 0 && Now < LoadAt + BusyReportValidity;
 }
 
-bool Replica::stalled(Duration Work, Instant Now) const {
+bool Replica::stalled(Duration ServiceTime, Instant Now) const {
   if (Open.empty())
     return false;
   Instant Oldest = *std::ranges::min_element(Open);
   double Ahead =
       static_cast<double>(Open.size() - 1) / std::max(1U, Entry.Slots);
-  double Usual =
-      toMillisF(roundTrip()) + toMillisF(Work) * slowness(Now) * (1 + Ahead);
+  double Usual = toMillisF(roundTrip()) +
+                 toMillisF(ServiceTime) * slowness(Now) * (1 + Ahead);
   double SinceProgress = toMillisF(Now - std::max(Oldest, LastAnswer));
   return SinceProgress > StallFactor * Usual + StallSlackMs;
 }
 
-Duration Replica::expected(Duration Work, Instant Now) const {
+Duration Replica::expected(Duration ServiceTime, Instant Now) const {
   double Slots = std::max(1U, Entry.Slots);
   double Busy = static_cast<double>(Open.size());
   if (Load)
@@ -205,14 +205,14 @@
                                   LoadHalfLifeMs));
   double Queue = std::max(0.0, Busy + 1 - Slots) / Slots;
   double Cold = cold(Now) ? ColdFactor : 1;
-  double Ms = toMillisF(Work) * Cold * slowness(Now) * (1 + Queue);
+  double Ms = toMillisF(ServiceTime) * Cold * slowness(Now) * (1 + Queue);
   return roundTrip() + fromMillisF(Ms);
 }
 
-Duration Replica::predicted(Duration Work, Instant Now) const {
-  double Ms = toMillisF(expected(Work, Now)) + distanceCostMs(Dist);
+Duration Replica::predicted(Duration ServiceTime, Instant Now) const {
+  double Ms = toMillisF(expected(ServiceTime, Now)) + distanceCostMs(Dist);
   Ms += failureRate(Now) * FailureCostMs;
-  if (stalled(Work, Now))
+  if (stalled(ServiceTime, Now))
     Ms += StallCostMs;
   return fromMillisF(Ms);
 }
--- a/packages/forward/Replica.h
+++ b/packages/forward/Replica.h
@@ -95,16 +95,17 @@
   bool warmupAdmits(double PerSecond, Instant Now);
 
   void sendStarted(Instant Now);
-  /// \p Work is the usual service time of such a request.
-  void sendEnded(Instant Started, SendStatus How, Duration Work, Instant Now);
+  /// \p ServiceTime is the usual service time of such a request.
+  void sendEnded(Instant Started, SendStatus How, Duration ServiceTime,
+                 Instant Now);
   void loadReported(const ReportedLoad &L, Instant Now);
 
   /// Predicted duration of a send started now, including the cost of distance
   /// and of likely failures.
-  Duration predicted(Duration Work, Instant Now) const;
+  Duration predicted(Duration ServiceTime, Instant Now) const;
   /// Predicted duration of a send without these costs, if the replica is not
   /// stalled and does not fail.
-  Duration expected(Duration Work, Instant Now) const;
+  Duration expected(Duration ServiceTime, Instant Now) const;
   /// The RTT, without service time.
   Duration roundTrip() const { return Rtt->value(); }
   RttEstimate &rtt() { return *Rtt; }
@@ -119,7 +120,7 @@
   ConnectionAllowance &allowance() { return Allowance; }
   const ConnectionAllowance &allowance() const { return Allowance; }
   /// Sends are open and nothing has arrived for longer than they should take.
-  bool stalled(Duration Work, Instant Now) const;
+  bool stalled(Duration ServiceTime, Instant Now) const;
 
   /// No callers' requests are sent to it until a probe connection succeeds.
   bool ejected() const { return Ejected; }
@@ -130,7 +131,7 @@
   double slowness(Instant Now) const;
 
 private:
-  void recordAnswer(Instant Started, Duration Work, Instant Now);
+  void recordAnswer(Instant Started, Duration ServiceTime, Instant Now);
   void eject(Instant Now);
   double failureRate(Instant Now) const;
   void recordFailure(double Outcome, Instant Now);
--- a/packages/forward/ReplicaRegistry.cpp
+++ b/packages/forward/ReplicaRegistry.cpp
@@ -233,8 +233,8 @@
       continue;
     Draw = Draw * 7.31 + 0.137;
     Draw -= static_cast<double>(static_cast<int>(Draw));
-    double Ms =
-        toMillisF(R.predicted(C.Work, Now)) * (1 + JitterFraction * Draw);
+    double Ms = toMillisF(R.predicted(C.ServiceTime, Now)) *
+                (1 + JitterFraction * Draw);
     bool Room = hasRoom(R, C, Now);
     ReplicaPtr &Leader = Room ? Best : Full;
     double &LeaderMs = Room ? BestMs : FullMs;
@@ -253,7 +253,8 @@
 
 Duration ReplicaRegistry::fastestOther(const ServiceName &Service,
                                        const AllowedRegions &Regions,
-                                       const ReplicaPtr &Other, Duration Work,
+                                       const ReplicaPtr &Other,
+                                       Duration ServiceTime,
                                        Instant Now) const {
   Duration Best = Duration::max();
   auto At = ByService.find(Service);
@@ -261,8 +262,8 @@
     return Best;
   for (const Slot *S : At->second)
     if (S->Ptr != Other && Regions.allows(S->Ptr->entry().Reg) &&
-        mayServe(*S, Now) && !S->Ptr->stalled(Work, Now))
-      Best = std::min(Best, S->Ptr->expected(Work, Now));
+        mayServe(*S, Now) && !S->Ptr->stalled(ServiceTime, Now))
+      Best = std::min(Best, S->Ptr->expected(ServiceTime, Now));
   return Best;
 }
 
--- a/packages/forward/ReplicaRegistry.h
+++ b/packages/forward/ReplicaRegistry.h
@@ -88,7 +88,7 @@
 /// The criteria by which a replica is selected for a send.
 struct ReplicaCriteria {
   const ServiceInfo *Service = nullptr;
-  Duration Work{}; ///< The usual service time of the request.
+  Duration ServiceTime{}; ///< The usual service time of the request.
   std::span<const ReplicaPtr> Exclude; ///< Replicas that were tried before.
   AllowedRegions Regions = AllowedRegions::anywhere();
   /// Use no connection beyond this daemon's share: the replica may reset it,
@@ -131,7 +131,7 @@
   /// Regions other than \p Other; Duration::max() if there is none.
   Duration fastestOther(const ServiceName &Service,
                         const AllowedRegions &Regions, const ReplicaPtr &Other,
-                        Duration Work, Instant Now) const;
+                        Duration ServiceTime, Instant Now) const;
   /// Whether a replica of the service in \p Regions is usable, even if it has
   /// no room now.
   bool servable(const ServiceInfo &Service, const AllowedRegions &Regions,
--- a/packages/forward/WorkEstimate.cpp
+++ b/packages/forward/WorkEstimate.cpp
@@ -1,4 +1,4 @@
-//===- WorkEstimate.cpp ---------------------------------------------------===//
+//===- ServiceTimeEstimate.cpp -------------------------------------------===//
 #include "forward/WorkEstimate.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void WorkEstimate::observe(Duration Took) {
+void ServiceTimeEstimate::observe(Duration Took) {
   double StepFraction = Answers < FirstAnswers ? FirstStep : Step;
   Answers = std::min(Answers + 1, FirstAnswers);
   double Ms = toMillisF(Median);
@@ -24,14 +24,14 @@
   Median = std::max(MinEstimate, fromMillisF(Ms));
 }
 
-WorkEstimate &WorkEstimates::of(const std::string &RouteName,
-                                Duration Objective) {
+ServiceTimeEstimate &ServiceTimeEstimates::of(const std::string &RouteName,
+                                              Duration Objective) {
   if (auto At = ByRoute.find(RouteName); At != ByRoute.end())
     return At->second;
   if (ByRoute.size() >= MaxRoutes)
     ByRoute.clear();
   Duration Guess = fromMillisF(toMillisF(Objective) * InitialFraction);
-  return ByRoute.emplace(RouteName, WorkEstimate(Guess)).first->second;
+  return ByRoute.emplace(RouteName, ServiceTimeEstimate(Guess)).first->second;
 }
 
 } // namespace shallot
--- a/packages/forward/WorkEstimate.h
+++ b/packages/forward/WorkEstimate.h
@@ -1,4 +1,4 @@
-//===- WorkEstimate.h - Estimated service time of requests ------*- C++ -*-===//
+//===- ServiceTimeEstimate.h - Estimated service times ----------*- C++ -*-===//
 //
 // The median service time of the requests of one route at replicas, learned
 // from answers. A mean would be raised by a replica that is ten times too slow,
@@ -19,9 +19,9 @@
 /// objective.
 inline constexpr double InitialFraction = 0.1;
 
-class WorkEstimate {
+class ServiceTimeEstimate {
 public:
-  explicit WorkEstimate(Duration Initial) : Median(Initial) {}
+  explicit ServiceTimeEstimate(Duration Initial) : Median(Initial) {}
 
   /// An answer took \p Took, without the RTT.
   void observe(Duration Took);
@@ -33,15 +33,15 @@
 };
 
 /// Estimates by route.
-class WorkEstimates {
+class ServiceTimeEstimates {
 public:
-  WorkEstimate &of(const std::string &RouteName, Duration Objective);
+  ServiceTimeEstimate &of(const std::string &RouteName, Duration Objective);
 
 private:
   /// Beyond this number of routes all estimates are reset.
   static constexpr std::size_t MaxRoutes = 4096;
 
-  std::map<std::string, WorkEstimate> ByRoute;
+  std::map<std::string, ServiceTimeEstimate> ByRoute;
 };
 
 } // namespace shallot
--- a/packages/front/RequestHandlerImpl.h
+++ b/packages/front/RequestHandlerImpl.h
@@ -41,7 +41,8 @@
        ReplicaRegistry &Replicas, ForwardRules Rules, Random &Rng,
        Metrics &Meter)
       : Timers(Timers), Names(std::move(Names)),
-        Pool(Loop, Timers, {}), Shared{Replicas, Budgets, Work, Rng, Rules},
+        Pool(Loop, Timers, {}), Shared{Replicas, Budgets, ServiceTimes, Rng,
+                                       Rules},
         Meter(Meter), Crashes(Pool, Timers), Gate(Loop, Meter) {}
   ~Impl() { Timers.cancel(AdmissionTimer); }
   Impl(const Impl &) = delete;
@@ -72,7 +73,7 @@
   HeaderNames Names;
   UpstreamPool Pool;
   BudgetMap Budgets;
-  WorkEstimates Work;
+  ServiceTimeEstimates ServiceTimes;
   ForwardShared Shared;
   Metrics &Meter;
   CrashCheck Crashes;
--- a/tests/ForwardFixture.h
+++ b/tests/ForwardFixture.h
@@ -96,9 +96,9 @@
   Instant Now{Seconds(1000)};
   ReplicaRegistry Replicas{{AvailabilityZone("here"), Region("here")}, {}};
   BudgetMap Budgets;
-  WorkEstimates Work;
+  ServiceTimeEstimates ServiceTimes;
   Random Rng{5};
-  ForwardShared Shared{Replicas, Budgets, Work, Rng, {}};
+  ForwardShared Shared{Replicas, Budgets, ServiceTimes, Rng, {}};
 };
 
 } // namespace shallot::test
--- a/tests/ForwardWorld.h
+++ b/tests/ForwardWorld.h
@@ -124,7 +124,7 @@
     unsigned Zone = 0;
     ReplicaRegistry Replicas;
     BudgetMap Budgets;
-    WorkEstimates Works;
+    ServiceTimeEstimates Works;
     Random Rng;
     ForwardShared Shared;
     RouteAdmission Admit;
--- a/tests/correctness/RttIsObserved.cpp
+++ b/tests/correctness/RttIsObserved.cpp
@@ -43,7 +43,7 @@
     ServiceInfo Info{ServiceName(Service), 100};
     ReplicaCriteria C;
     C.Service = &Info;
-    C.Work = Millis(10);
+    C.ServiceTime = Millis(10);
     return Replicas.choose(C, 0, Now);
   };
   Of("a")->rtt().opened(Millis(90));
--- a/tests/failure/ColdReplicasInAFleet.cpp
+++ b/tests/failure/ColdReplicasInAFleet.cpp
@@ -81,12 +81,12 @@
       for (auto &B : Registries) {
         ReplicaCriteria C;
         C.Service = &Info;
-        C.Work = Millis(5);
+        C.ServiceTime = Millis(5);
         ReplicaPtr To = B->choose(C, 0.5, Now);
         if (!To)
           continue;
         To->sendStarted(Now);
-        To->sendEnded(Now, SendStatus::Answered, C.Work, Now);
+        To->sendEnded(Now, SendStatus::Answered, C.ServiceTime, Now);
         std::deque<Instant> &Window = Sends[To->entry().Id];
         Window.push_back(Now);
         while (Window.front() <= Now - Seconds(1))
--- a/tests/failure/ConnectionsFollowNeed.cpp
+++ b/tests/failure/ConnectionsFollowNeed.cpp
@@ -21,7 +21,7 @@
     ServiceInfo Info{ServiceName("a"), 25};
     ReplicaCriteria C;
     C.Service = &Info;
-    C.Work = Millis(10);
+    C.ServiceTime = Millis(10);
     C.WithinShare = WithinShare;
     return Replicas.choose(C, 0, Now);
   }
--- a/tests/failure/DeadReplicasRest.cpp
+++ b/tests/failure/DeadReplicasRest.cpp
@@ -24,13 +24,13 @@
             Distance::SameZone,
             std::make_shared<RttEstimate>(Micros(400)),
             Now};
-  Duration Work = Millis(10);
+  Duration ServiceTime = Millis(10);
 
   void send(SendStatus How, Duration Took) {
     Instant Started = Now;
     R.sendStarted(Now);
     Now += Took;
-    R.sendEnded(Started, How, Work, Now);
+    R.sendEnded(Started, How, ServiceTime, Now);
   }
 };
 
@@ -89,23 +89,23 @@
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "a paused replica looks slow until it answers") {
-  Duration Usual = R.predicted(Work, Now);
+  Duration Usual = R.predicted(ServiceTime, Now);
   Instant Started = Now;
   R.sendStarted(Now);
   Now += Millis(60);
-  CHECK(R.stalled(Work, Now));
-  CHECK(R.predicted(Work, Now) > Usual + Millis(100));
+  CHECK(R.stalled(ServiceTime, Now));
+  CHECK(R.predicted(ServiceTime, Now) > Usual + Millis(100));
   Now += Millis(90);
-  R.sendEnded(Started, SendStatus::Answered, Work, Now);
-  CHECK_FALSE(R.stalled(Work, Now));
+  R.sendEnded(Started, SendStatus::Answered, ServiceTime, Now);
+  CHECK_FALSE(R.stalled(ServiceTime, Now));
   // The effect of one late answer decays within seconds.
-  CHECK(R.predicted(Work, Now + Seconds(5)) < Usual + Millis(10));
+  CHECK(R.predicted(ServiceTime, Now + Seconds(5)) < Usual + Millis(10));
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "fast failures do not make a replica look fast") {
-  Duration Usual = R.predicted(Work, Now);
+  Duration Usual = R.predicted(ServiceTime, Now);
   for (int I = 0; I < 10; ++I)
     send(SendStatus::Rejected, Millis(1));
-  CHECK(R.predicted(Work, Now) > Usual + Millis(50));
+  CHECK(R.predicted(ServiceTime, Now) > Usual + Millis(50));
 }
--- a/tests/failure/PartsAreMissing.cpp
+++ b/tests/failure/PartsAreMissing.cpp
@@ -178,7 +178,7 @@
     ServiceInfo Info{ServiceName(Shard), 100};
     ReplicaCriteria C;
     C.Service = &Info;
-    C.Work = Millis(10);
+    C.ServiceTime = Millis(10);
     while (ReplicaPtr R = Replicas.choose(C, 0, Now)) {
       R->sendStarted(Now);
       R->loadReported({2, 9, 2}, Now);
@@ -196,7 +196,7 @@
                   "no request is sent that cannot be answered in time") {
   // The caller's remaining time is less than half of the service time.
   for (int I = 0; I < 60; ++I)
-    Work.of("r", Millis(120)).observe(Millis(100));
+    ServiceTimes.of("r", Millis(120)).observe(Millis(100));
   ForwardRun R = run(route(ServiceName("a")), Millis(40));
   RunOutput Out = R.begin(Shared, Now);
   CHECK(Out.Start.empty());
@@ -205,7 +205,7 @@
 
 TEST_CASE_FIXTURE(ShardFixture, "a retry too late to be answered is not sent") {
   for (int I = 0; I < 60; ++I)
-    Work.of("r", Millis(120)).observe(Millis(100));
+    ServiceTimes.of("r", Millis(120)).observe(Millis(100));
   ForwardRun R = run(route(ServiceName("a")), Millis(120));
   REQUIRE(R.begin(Shared, Now).Start.size() == 1);
   RunOutput Out =
@@ -220,7 +220,7 @@
   ServiceInfo Info{ServiceName("d"), 100};
   ReplicaCriteria C;
   C.Service = &Info;
-  C.Work = Millis(10);
+  C.ServiceTime = Millis(10);
   std::vector<std::pair<ReplicaPtr, Instant>> Held;
   while (ReplicaPtr R = Replicas.choose(C, 0, Now)) {
     R->sendStarted(Now);
--- a/tests/failure/ReplicasStartAgain.cpp
+++ b/tests/failure/ReplicasStartAgain.cpp
@@ -32,7 +32,7 @@
     ServiceInfo Info{ServiceName("a"), 100};
     ReplicaCriteria C;
     C.Service = &Info;
-    C.Work = Millis(10);
+    C.ServiceTime = Millis(10);
     return Replicas.choose(C, 0, Now);
   }
   void loseThree(const ReplicaPtr &R) {
--- a/tests/failure/VanishedReplicasStandIn.cpp
+++ b/tests/failure/VanishedReplicasStandIn.cpp
@@ -21,7 +21,7 @@
     ServiceInfo Info{ServiceName("a"), 100};
     ReplicaCriteria C;
     C.Service = &Info;
-    C.Work = Millis(10);
+    C.ServiceTime = Millis(10);
     ReplicaPtr R = Replicas.choose(C, 0, Now);
     return R ? R->entry().Id.str() : "none";
   }
