--- a/packages/forward/ReplicaRegistry.h
+++ b/packages/forward/ReplicaRegistry.h
@@ -66,8 +66,8 @@
   friend bool operator==(const FleetShare &, const FleetShare &) = default;
 };
 
-/// Number of connections that this daemon may hold to a replica that accepts \p
-/// MaxConnections in all.
+/// Number of connections that this daemon may hold to a replica that accepts
+/// \p MaxConnections in all.
 std::size_t connectionShare(unsigned MaxConnections, Distance Dist,
                             const FleetShare &S);
 
@@ -127,8 +127,8 @@
   /// open sends as this daemon may have connections to it. \p Jitter in [0, 1)
   /// spreads the selections of daemons with the same view.
   ReplicaPtr choose(const ReplicaCriteria &C, double Jitter, Instant Now);
-  /// Expected duration of a send to the fastest replica of \p Service in \p
-  /// Regions other than \p Other; Duration::max() if there is none.
+  /// Expected duration of a send to the fastest replica of \p Service in
+  /// \p Regions other than \p Other; Duration::max() if there is none.
   Duration fastestOther(const ServiceName &Service,
                         const AllowedRegions &Regions, const ReplicaPtr &Other,
                         Duration ServiceTime, Instant Now) const;
--- a/packages/forward/RetryBudget.h
+++ b/packages/forward/RetryBudget.h
@@ -55,7 +55,7 @@
   static constexpr std::size_t Slices = SlicesPerWindow + 1;
 
   struct Slice {
-    std::int64_t Number = -1; ///< Since the epoch of the clock.
+    std::int64_t Number = -1; ///< Counted from the clock's epoch.
     std::uint32_t Requests = 0;
     std::uint32_t Extra = 0;
   };
--- a/packages/forward/WarmupShare.h
+++ b/packages/forward/WarmupShare.h
@@ -60,8 +60,8 @@
 bool ownsWarmup(const WarmupSenders &S, const UpstreamId &Id,
                 const Region &Reg);
 
-/// Requests per second that the owner may send to a replica that tolerates \p
-/// Tolerated per second; 0 if the bound has no room for MaxOwners.
+/// Requests per second that the owner may send to a replica that tolerates
+/// \p Tolerated per second; 0 if the bound has no room for MaxOwners.
 double warmupRate(double Tolerated, const WarmupBound &Bound);
 
 /// How long after the end of the warm-up a daemon starts to use the replica
--- a/packages/forward/WorkEstimate.cpp
+++ b/packages/forward/WorkEstimate.cpp
@@ -1,4 +1,4 @@
-//===- ServiceTimeEstimate.cpp -------------------------------------------===//
+//===- WorkEstimate.cpp --------------------------------------------------===//
 #include "forward/WorkEstimate.h"
 
 #include <algorithm>
--- a/packages/forward/WorkEstimate.h
+++ b/packages/forward/WorkEstimate.h
@@ -1,4 +1,4 @@
-//===- ServiceTimeEstimate.h - Estimated service times ----------*- C++ -*-===//
+//===- WorkEstimate.h - Estimated service times of requests -----*- C++ -*-===//
 //
 // The median service time of the requests of one route at replicas, learned
 // from answers. A mean would be raised by a replica that is ten times too slow,
--- a/packages/forward/include/shallotshift/forward.h
+++ b/packages/forward/include/shallotshift/forward.h
@@ -6,7 +6,7 @@
 //   Replica.h, IncarnationTable.h, ReplicaRegistry.h
 //                               replicas, their incarnations, replica selection
 //   WarmupShare.h               which daemon sends to a cold replica
-//   RetryBudget.h, ServiceTimeEstimate.h
+//   RetryBudget.h, WorkEstimate.h
 //                               retry budget and service time estimates
 //   ForwardRun.h                one request from arrival to answer
 //   RecordMerge.h               merging of the shards' records
--- a/tests/failure/OverloadIsTurnedAway.cpp
+++ b/tests/failure/OverloadIsTurnedAway.cpp
@@ -44,8 +44,8 @@
   AdmissionDecision offer(const Route &R) {
     return Admit.offer(R, ++Last, Now + R.Timeout, Now);
   }
-  /// Offers one query per millisecond; each ends 30 ms after its start with \p
-  /// S.
+  /// Offers one query per millisecond; each ends 30 ms after its start with the
+  /// sample \p S.
   void load(const Route &R, int Count, const LoadSample &S) {
     for (int I = 0; I < Count; ++I) {
       Now += Millis(1);
--- a/tests/performance/ForwardUnderTrouble.cpp
+++ b/tests/performance/ForwardUnderTrouble.cpp
@@ -22,8 +22,8 @@
 
 using Prepare = void (*)(ForwardWorld &);
 
-/// Runs four seconds of warm-up, then applies \p Trouble; the figures cover \p
-/// For after \p Settle.
+/// Runs four seconds of warm-up, then applies \p Trouble; the figures cover
+/// \p For after \p Settle.
 Outcome replay(const char *Name, WorldShape Shape, Prepare Trouble,
                Duration Settle, Duration For) {
   WorldFigures Sum;
