--- a/packages/front/RequestHandler.cpp
+++ b/packages/front/RequestHandler.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void RequestHandler::Impl::refuse(const ExchangePtr &E, const OwnAnswer &A) {
+void RequestHandler::Impl::refuse(const ExchangePtr &E, const LocalAnswer &A) {
   std::string Id(headerValue(E->request().Headers, Names.RequestId));
   logEvent(LogLevel::Info, "request_refused",
            {{"id", Id},
@@ -89,7 +89,7 @@
     send(J, S);
   if (Out.Answer)
     answer(J, std::move(*Out.Answer));
-  else if (J->Run.makesRoom())
+  else if (J->Run.freesAdmission())
     leave(J);
   schedule(J);
 }
@@ -98,14 +98,14 @@
   const CallerRequest &R = J->E->request();
   UpstreamRequest U;
   U.To = S.To->entry().At;
-  U.OpenedFrom = S.To->connectionsFrom();
+  U.OpenedFrom = S.To->connectionsValidFrom();
   HttpHeaders Extra = {{Names.Deadline, std::to_string(toMillis(S.TimeLeft))},
                        {Names.Wanted, S.To->entry().Id.str()}};
   U.Bytes = requestText(J->Head, Extra, R.Body);
   U.ToHead = R.Method == "HEAD";
   U.EchoName = Names.RequestId;
   U.EchoValue = J->Name.Id;
-  bool Once = J->Run.request().Matched->Kind == Repetition::AtMostOnce;
+  bool Once = J->Run.request().Matched->Kind == RetrySemantics::AtMostOnce;
   bool Far = S.To->distance() == Distance::OtherRegion;
   U.MostKept =
       (Far ? FarIdle : NearIdle).Most + S.To->allowance().extra(Timers.now());
@@ -154,7 +154,7 @@
 /// What crashed under an attempt without success is for the other daemons to
 /// know, also when the caller did not wait for its end.
 void RequestHandler::Impl::noteFailure(const JobPtr &J) {
-  if (J->Run.succeeded() || J->Run.story().Crashed == 0)
+  if (J->Run.succeeded() || J->Run.stats().Crashed == 0)
     return;
   bool First = !std::exchange(J->Suspected, true);
   Gate.attemptFailed(J->Name, J->Trial, First);
@@ -200,14 +200,14 @@
 }
 
 void RequestHandler::Impl::tryResting() {
-  for (const ReplicaPtr &R : Shared.Replicas.dueTrials(Timers.now()))
+  for (const ReplicaPtr &R : Shared.Replicas.dueProbes(Timers.now()))
     Pool.tryConnect(R->entry().At, [this, R](ConnectEnd How) {
       bool Worked = How == ConnectEnd::Opened;
       logEvent(LogLevel::Info, "replica_tried",
                {{"replica", R->entry().Id.str()},
                 {"service", R->entry().Service.str()},
                 {"works", Worked ? "yes" : "no"}});
-      R->trialEnded(Worked, Timers.now());
+      R->probeEnded(Worked, Timers.now());
     });
 }
 
@@ -226,7 +226,7 @@
     const CallerRequest &R = J->E->request();
     std::string Host = hostOf(headerValue(R.Headers, "Host"));
     if (const Route *Now = Config->match(Host, R.path()))
-      J->Run.restrictTo(Now->Regions);
+      J->Run.restrictRegions(Now->Regions);
   }
 }
 
--- a/packages/front/RequestHandlerImpl.h
+++ b/packages/front/RequestHandlerImpl.h
@@ -41,19 +41,20 @@
        ReplicaRegistry &Replicas, ForwardRules Rules, Random &Rng,
        Metrics &Meter)
       : Timers(Timers), Names(std::move(Names)),
-        Pool(Loop, Timers, {}), Shared{Replicas, Budgets, Work, Rng, Rules},
+        Pool(Loop, Timers, {}), Shared{Replicas, Budgets, ServiceTimes, Rng,
+                                       Rules},
         Meter(Meter), Crashes(Pool, Timers), Gate(Loop, Meter) {}
   ~Impl() { Timers.cancel(AdmissionTimer); }
   Impl(const Impl &) = delete;
   Impl &operator=(const Impl &) = delete;
 
   void handle(const ExchangePtr &E);
-  void refuse(const ExchangePtr &E, const OwnAnswer &A);
+  void refuse(const ExchangePtr &E, const LocalAnswer &A);
   void vet(const JobPtr &J);
   void askTrial(const JobPtr &J);
   void admit(const JobPtr &J);
   void start(const JobPtr &J);
-  void turnAway(const JobPtr &J, OwnAnswer A);
+  void turnAway(const JobPtr &J, LocalAnswer A);
   void leave(const JobPtr &J);
   void pollAdmission();
   void apply(const JobPtr &J, RunOutput Out);
@@ -72,7 +73,7 @@
   HeaderNames Names;
   UpstreamPool Pool;
   BudgetMap Budgets;
-  WorkEstimates Work;
+  ServiceTimeEstimates ServiceTimes;
   ForwardShared Shared;
   Metrics &Meter;
   CrashCheck Crashes;
--- a/tests/ForwardFixture.h
+++ b/tests/ForwardFixture.h
@@ -10,7 +10,7 @@
 
 /// Services with replicas near and far, and runs over them.
 struct ForwardFixture {
-  ForwardFixture() { Replicas.setSharing({1, 2, 1.0 / 3}); }
+  ForwardFixture() { Replicas.setFleetShare({1, 2, 1.0 / 3}); }
 
   void add(const std::string &Id, const std::string &Service,
            const std::string &Zone, bool Leaving = false) {
@@ -26,7 +26,7 @@
   }
 
   Route route(RouteTarget Target,
-              Repetition Kind = Repetition::Idempotent) const {
+              RetrySemantics Kind = RetrySemantics::Idempotent) const {
     Route R;
     R.Name = "r";
     R.Host = "a.example";
@@ -57,7 +57,7 @@
   static SendResult answered(const std::string &Body = "body", int Status = 200,
                              const std::string &Signature = "sig") {
     SendResult S;
-    S.How = SendEnd::Answered;
+    S.How = SendStatus::Answered;
     ReplicaReply R;
     R.Status = Status;
     R.Body = Body;
@@ -65,7 +65,7 @@
     S.Reply = R;
     return S;
   }
-  static SendResult ended(SendEnd How) {
+  static SendResult ended(SendStatus How) {
     SendResult S;
     S.How = How;
     return S;
@@ -87,18 +87,18 @@
     return All;
   }
 
-  static const OwnAnswer &own(const RunOutput &Out) {
+  static const LocalAnswer &own(const RunOutput &Out) {
     REQUIRE(Out.Answer);
-    REQUIRE(std::holds_alternative<OwnAnswer>(*Out.Answer));
-    return std::get<OwnAnswer>(*Out.Answer);
+    REQUIRE(std::holds_alternative<LocalAnswer>(*Out.Answer));
+    return std::get<LocalAnswer>(*Out.Answer);
   }
 
   Instant Now{Seconds(1000)};
   ReplicaRegistry Replicas{{AvailabilityZone("here"), Region("here")}, {}};
   BudgetMap Budgets;
-  WorkEstimates Work;
+  ServiceTimeEstimates ServiceTimes;
   Random Rng{5};
-  ForwardShared Shared{Replicas, Budgets, Work, Rng, {}};
+  ForwardShared Shared{Replicas, Budgets, ServiceTimes, Rng, {}};
 };
 
 } // namespace shallot::test
--- a/tests/ForwardWorld.h
+++ b/tests/ForwardWorld.h
@@ -32,10 +32,10 @@
   double PauseEveryMs = 3600; ///< 0: none.
   double ObjectiveMs = 120;
   double DeadlineMs = 800;
-  double LeastShare = 0.89;
+  double MinCoverage = 0.89;
   double FarMs = 8; ///< One way between zones.
   unsigned MaxAttempts = 2;
-  Repetition Kind = Repetition::Idempotent;
+  RetrySemantics Kind = RetrySemantics::Idempotent;
   bool Admission = true; ///< Requests start only while replicas can take them.
   unsigned CallerTries = 2; ///< A refused caller comes back, when it was told.
   RetryAllowance Retries{0.2, 52, Seconds(10)};
@@ -89,7 +89,7 @@
 private:
   struct ModelReplica;
   struct Work {
-    std::function<void(SendEnd, ReportedLoad)> Done;
+    std::function<void(SendStatus, ReportedLoad)> Done;
     double Ms = 0;
     bool Dropped = false;
     ModelReplica *On = nullptr; ///< It holds a connection there.
@@ -118,13 +118,13 @@
   };
   using JobPtr = std::shared_ptr<Job>;
   struct Daemon {
-    Daemon(Place Here, std::uint64_t Seed)
+    Daemon(Location Here, std::uint64_t Seed)
         : Replicas(std::move(Here), {}),
           Rng(Seed), Shared{Replicas, Budgets, Works, Rng, {}} {}
     unsigned Zone = 0;
     ReplicaRegistry Replicas;
     BudgetMap Budgets;
-    WorkEstimates Works;
+    ServiceTimeEstimates Works;
     Random Rng;
     ForwardShared Shared;
     RouteAdmission Admit;
--- a/tests/failure/DeadReplicasRest.cpp
+++ b/tests/failure/DeadReplicasRest.cpp
@@ -1,7 +1,7 @@
-// What callers see: one replica refuses connections, or takes requests and
-// answers nothing; after a few of them nobody is sent there. What happens: it
-// rests and is tried with a connection that costs no caller; when that works it
-// is used again, and one more loss sends it back to rest. A pause is neither.
+// Guards against callers that pay for a dead replica: one that refuses
+// connections, or accepts requests and answers nothing. After a few failures it
+// is ejected and probed with a connection of its own. When the probe succeeds
+// it is used again, and one more loss ejects it. A pause does not.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
@@ -24,85 +24,88 @@
             Distance::SameZone,
             std::make_shared<RttEstimate>(Micros(400)),
             Now};
-  Duration Work = Millis(10);
+  Duration ServiceTime = Millis(10);
 
-  void send(SendEnd How, Duration Took) {
+  void send(SendStatus How, Duration Took) {
     Instant Started = Now;
     R.sendStarted(Now);
     Now += Took;
-    R.sendEnded(Started, How, Work, Now);
+    R.sendEnded(Started, How, ServiceTime, Now);
   }
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(ReplicaFixture, "a refused connection sends it to rest") {
-  send(SendEnd::NotSent, Millis(1));
-  CHECK(R.resting());
-  CHECK_FALSE(R.takeTrial(Now));
+TEST_CASE_FIXTURE(ReplicaFixture, "a refused connection ejects a replica") {
+  send(SendStatus::NotSent, Millis(1));
+  CHECK(R.ejected());
+  CHECK_FALSE(R.takeProbe(Now));
   Now += Millis(250);
-  CHECK(R.takeTrial(Now));
-  CHECK_FALSE(R.takeTrial(Now));
-  R.trialEnded(true, Now);
-  CHECK_FALSE(R.resting());
+  CHECK(R.takeProbe(Now));
+  CHECK_FALSE(R.takeProbe(Now));
+  R.probeEnded(true, Now);
+  CHECK_FALSE(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "rests grow while trials fail, up to a bound") {
-  send(SendEnd::NotSent, Millis(1));
+                  "ejections get longer while probes fail, up to a bound") {
+  send(SendStatus::NotSent, Millis(1));
   Duration Longest{};
   for (int I = 0; I < 8; ++I) {
     Instant From = Now;
-    while (!R.takeTrial(Now))
+    while (!R.takeProbe(Now))
       Now += Millis(10);
     Longest = std::max(Longest, Now - From);
-    R.trialEnded(false, Now);
+    R.probeEnded(false, Now);
   }
   CHECK(Longest >= Seconds(2));
   CHECK(Longest <= Seconds(4));
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "losses in a row do, one alone does not") {
-  send(SendEnd::Lost, Millis(5));
-  send(SendEnd::Answered, Millis(10));
-  send(SendEnd::Lost, Millis(5));
-  send(SendEnd::Lost, Millis(5));
-  CHECK_FALSE(R.resting());
-  send(SendEnd::Lost, Millis(5));
-  CHECK(R.resting());
+TEST_CASE_FIXTURE(ReplicaFixture,
+                  "consecutive losses eject a replica, a single one does not") {
+  send(SendStatus::Lost, Millis(5));
+  send(SendStatus::Answered, Millis(10));
+  send(SendStatus::Lost, Millis(5));
+  send(SendStatus::Lost, Millis(5));
+  CHECK_FALSE(R.ejected());
+  send(SendStatus::Lost, Millis(5));
+  CHECK(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
-                  "sends that outlast every pause count as lost") {
+                  "sends that take longer than any pause count as lost") {
   for (int I = 0; I < 3; ++I)
-    send(SendEnd::Abandoned, Millis(400));
-  CHECK(R.resting());
+    send(SendStatus::Abandoned, Millis(400));
+  CHECK(R.ejected());
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "sends abandoned within a pause do not") {
+TEST_CASE_FIXTURE(ReplicaFixture,
+                  "sends abandoned within a pause do not count") {
   for (int I = 0; I < 9; ++I)
-    send(SendEnd::Abandoned, Millis(150));
-  CHECK_FALSE(R.resting());
+    send(SendStatus::Abandoned, Millis(150));
+  CHECK_FALSE(R.ejected());
 }
 
 TEST_CASE_FIXTURE(ReplicaFixture,
                   "a paused replica looks slow until it answers") {
-  Duration Usual = R.predicted(Work, Now);
+  Duration Usual = R.predicted(ServiceTime, Now);
   Instant Started = Now;
   R.sendStarted(Now);
   Now += Millis(60);
-  CHECK(R.stuck(Work, Now));
-  CHECK(R.predicted(Work, Now) > Usual + Millis(100));
+  CHECK(R.stalled(ServiceTime, Now));
+  CHECK(R.predicted(ServiceTime, Now) > Usual + Millis(100));
   Now += Millis(90);
-  R.sendEnded(Started, SendEnd::Answered, Work, Now);
-  CHECK_FALSE(R.stuck(Work, Now));
-  // One late answer is forgotten within seconds.
-  CHECK(R.predicted(Work, Now + Seconds(5)) < Usual + Millis(10));
+  R.sendEnded(Started, SendStatus::Answered, ServiceTime, Now);
+  CHECK_FALSE(R.stalled(ServiceTime, Now));
+  // The effect of one late answer decays within seconds.
+  CHECK(R.predicted(ServiceTime, Now + Seconds(5)) < Usual + Millis(10));
 }
 
-TEST_CASE_FIXTURE(ReplicaFixture, "quick failures do not make it look quick") {
-  Duration Usual = R.predicted(Work, Now);
+TEST_CASE_FIXTURE(ReplicaFixture,
+                  "fast failures do not make a replica look fast") {
+  Duration Usual = R.predicted(ServiceTime, Now);
   for (int I = 0; I < 10; ++I)
-    send(SendEnd::Rejected, Millis(1));
-  CHECK(R.predicted(Work, Now) > Usual + Millis(50));
+    send(SendStatus::Rejected, Millis(1));
+  CHECK(R.predicted(ServiceTime, Now) > Usual + Millis(50));
 }
--- a/tests/failure/RegionsBindEverySend.cpp
+++ b/tests/failure/RegionsBindEverySend.cpp
@@ -1,5 +1,5 @@
-// Guards against second sends of a request that leave the regions where it may
-// be served: hedges, retries, and whatever follows a change of configuration.
+// Guards against further sends of a request that leave the regions where it may
+// be served: hedges, retries, and sends after a change of configuration.
 #include "ForwardFixture.h"
 
 using namespace shallot;
@@ -28,7 +28,7 @@
   RunOutput First = R.begin(Shared, Now);
   REQUIRE(First.Start.size() == 1);
   CHECK(First.Start[0].To->entry().Id == UpstreamId("a1"));
-  RunOutput Next = R.replied(Shared, 0, ended(SendEnd::Rejected), Now);
+  RunOutput Next = R.replied(Shared, 0, ended(SendStatus::Rejected), Now);
   for (const StartSend &S : Next.Start)
     CHECK(S.To->entry().Id == UpstreamId("a1"));
 }
@@ -42,12 +42,12 @@
 }
 
 TEST_CASE_FIXTURE(RegionsFixture,
-                  "a newer configuration binds what is already open") {
+                  "a newer configuration applies to open requests") {
   add("a1", "a", "here");
   add("a2", "a", "abroad");
   ForwardRun R = run(route(ServiceName("a")));
   R.begin(Shared, Now);
-  R.restrictTo(only({Region("here")}));
+  R.restrictRegions(only({Region("here")}));
   CHECK(tickUntil(R, Now + Millis(700)).Start.empty());
 }
 
@@ -82,15 +82,15 @@
       0.75};
   ForwardRun Enough = run(inRegions(Fan, {Region("here")}));
   CHECK(Enough.begin(Shared, Now).Start.size() == 3);
-  Fan.LeastShare = 1;
+  Fan.MinCoverage = 1;
   ForwardRun Whole = run(inRegions(Fan, {Region("here")}));
   RunOutput Out = Whole.begin(Shared, Now);
   CHECK(Out.Start.empty());
   CHECK(own(Out).Code == ResultCode::NoAllowedReplica);
 }
 
-TEST_CASE_FIXTURE(RegionsFixture, "what a route and its tenant allow both "
-                                  "bind") {
+TEST_CASE_FIXTURE(RegionsFixture, "the regions of a route and its "
+                                  "tenant are intersected") {
   Route R = inRegions(ServiceName("a"), {Region("here"), Region("abroad")});
   R.Owner = Tenant("firm");
   auto C = attempt([&] {
