--- a/packages/front/FeedServer.cpp
+++ b/packages/front/FeedServer.cpp
@@ -47,7 +47,7 @@
 }
 
 void FeedServer::answerPage(const Waiter &W, const KindCache &Cache) {
-  const FeedQuestion &Q = W.Question;
+  const FeedRequest &Q = W.Question;
   FeedAnswerKey Key{Q.Kind, Q.After, std::nullopt, Cache.revision()};
   answer(W, Key, [&] {
     KindPage P = Cache.page(Q.After);
@@ -58,7 +58,7 @@
 
 bool FeedServer::tryChanges(const Waiter &W, const KindCache &Cache,
                             bool Anyway) {
-  const FeedQuestion &Q = W.Question;
+  const FeedRequest &Q = W.Question;
   if (!Cache.keepsSince(*Q.Since)) {
     W.Answer.reply(problemReply(ResultCode::PlatformHistoryGone, Q.Kind));
     return true;
@@ -75,7 +75,7 @@
 }
 
 void FeedServer::handle(const ServerRequest &R, const Responder &A) {
-  auto Q = readFeedQuestion(R.Path, R.Query);
+  auto Q = parseFeedRequest(R.Path, R.Query);
   if (!Q || !View(Q->Kind).Cache) {
     A.reply(problemReply(ResultCode::UnknownPath, R.Path));
     return;
--- a/packages/front/FeedServer.h
+++ b/packages/front/FeedServer.h
@@ -47,7 +47,7 @@
 
 private:
   struct Waiter {
-    FeedQuestion Question;
+    FeedRequest Question;
     Responder Answer;
     Instant Until;
     bool Deflates = false; ///< Takes a deflated body.
--- a/packages/front/FeedWire.cpp
+++ b/packages/front/FeedWire.cpp
@@ -116,18 +116,18 @@
 
 } // namespace
 
-std::string feedTarget(const FeedQuestion &Q) {
+std::string feedTarget(const FeedRequest &Q) {
   std::string What = Q.Since ? fmt::format("since={}", *Q.Since)
                              : "after=" + percentEncoded(Q.After);
   return fmt::format("{}{}?{}&wait_ms={}{}", PathStart, Q.Kind, What,
                      toMillis(Q.Wait), Q.Relays ? "&relays=1" : "");
 }
 
-std::optional<FeedQuestion> readFeedQuestion(std::string_view Path,
+std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
                                              std::string_view Query) {
   if (!Path.starts_with(PathStart))
     return std::nullopt;
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = std::string(Path.substr(PathStart.size()));
   Q.After = queryParameter(Query, "after").value_or("");
   Q.Since = numberIn(queryParameter(Query, "since"));
--- a/packages/front/FeedWire.h
+++ b/packages/front/FeedWire.h
@@ -21,7 +21,7 @@
 
 namespace shallot {
 
-struct FeedQuestion {
+struct FeedRequest {
   std::string Kind;
   std::string After;                  ///< Of a list.
   std::optional<std::uint64_t> Since; ///< Of a watch.
@@ -29,13 +29,13 @@
   /// Other daemons read from the sender, so it must know how old its data is.
   bool Relays = false;
 
-  friend bool operator==(const FeedQuestion &, const FeedQuestion &) = default;
+  friend bool operator==(const FeedRequest &, const FeedRequest &) = default;
 };
 
 /// Path and query of \p Q.
-std::string feedTarget(const FeedQuestion &Q);
+std::string feedTarget(const FeedRequest &Q);
 /// Nothing when the request is not of this form.
-std::optional<FeedQuestion> readFeedQuestion(std::string_view Path,
+std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
                                              std::string_view Query);
 
 /// Reports that the store last answered \p Age ago.
--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -234,7 +234,7 @@
     A.reply(problemReply(ResultCode::UnknownPath, R.Path));
     return;
   }
-  EntryQuestion Q = Adapter.ReadQuestion(R.Query);
+  EntryQuery Q = Adapter.ReadQuestion(R.Query);
   AllowedRegions Regions = Requests.config()
                                ? Requests.config()->regionsOf(Q.Host)
                                : AllowedRegions::anywhere();
--- a/packages/front/FrontDaemon.h
+++ b/packages/front/FrontDaemon.h
@@ -29,12 +29,12 @@
 namespace shallot {
 
 /// What a caller asks the directory.
-struct EntryQuestion {
+struct EntryQuery {
   Place Caller;
   std::string Host; ///< That it wants to send requests to.
 
-  friend bool operator==(const EntryQuestion &,
-                         const EntryQuestion &) = default;
+  friend bool operator==(const EntryQuery &,
+                         const EntryQuery &) = default;
 };
 
 /// What the deployment's own names and forms are; the rest is the product's.
@@ -43,7 +43,7 @@
   std::string ReadyPath;
   std::string DirectoryPath;
   /// Reads a question from a query string, and writes the answer's body.
-  std::function<EntryQuestion(std::string_view Query)> ReadQuestion;
+  std::function<EntryQuery(std::string_view Query)> ReadQuestion;
   std::function<std::string(const std::vector<Endpoint> &, Duration Validity)>
       WriteAddresses;
 };
--- a/packages/front/RelayedStore.h
+++ b/packages/front/RelayedStore.h
@@ -73,7 +73,7 @@
       Call = S.list(Kind, After, std::move(Done));
       return;
     }
-    FeedQuestion Q;
+    FeedRequest Q;
     Q.Kind = Kind;
     Q.After = After;
     Q.Wait = PeerListWait;
@@ -98,7 +98,7 @@
       Call = S.watchKind(Kind, Revision, Wait, std::move(Done));
       return;
     }
-    FeedQuestion Q;
+    FeedRequest Q;
     Q.Kind = Kind;
     Q.Since = Revision;
     Q.Wait = From.watchesStore() ? WatcherPeerWait : PeerWait;
@@ -137,7 +137,7 @@
     return Fresh;
   }
 
-  void ask(const FeedSource &Source, const FeedQuestion &Q, Duration Timeout,
+  void ask(const FeedSource &Source, const FeedRequest &Q, Duration Timeout,
            HttpClient::Callback Done) {
     HttpRequest R;
     R.To = Source.Peer->Rpc;
--- a/tests/SlowPeers.cpp
+++ b/tests/SlowPeers.cpp
@@ -17,11 +17,11 @@
 }
 
 /// Path and query of a request's head: "GET /feed/config?since=4 HTTP/1.1".
-std::optional<FeedQuestion> questionIn(const std::string &Head) {
+std::optional<FeedRequest> questionIn(const std::string &Head) {
   std::size_t From = Head.find(' ') + 1;
   std::string Target = Head.substr(From, Head.find(' ', From) - From);
   std::size_t Mark = std::min(Target.find('?'), Target.size());
-  return readFeedQuestion(Target.substr(0, Mark),
+  return parseFeedRequest(Target.substr(0, Mark),
                           Target.substr(std::min(Mark + 1, Target.size())));
 }
 
--- a/tests/SlowPeers.h
+++ b/tests/SlowPeers.h
@@ -31,7 +31,7 @@
 private:
   struct Waiter {
     SlowLink::LinePtr Line;
-    FeedQuestion Question;
+    FeedRequest Question;
     Instant Until;
   };
 
--- a/tests/correctness/FeedWordsSurviveTheWire.cpp
+++ b/tests/correctness/FeedWordsSurviveTheWire.cpp
@@ -98,16 +98,16 @@
 }
 
 TEST_CASE("questions survive their way as a path and a query") {
-  FeedQuestion List{"servers", "i-7", std::nullopt, Millis(300)};
-  FeedQuestion Watch{"config", "", 41, Millis(1500)};
-  FeedQuestion Relay{"config", "", 41, Millis(1500), true};
-  for (const FeedQuestion &Q : {List, Watch, Relay}) {
+  FeedRequest List{"servers", "i-7", std::nullopt, Millis(300)};
+  FeedRequest Watch{"config", "", 41, Millis(1500)};
+  FeedRequest Relay{"config", "", 41, Millis(1500), true};
+  for (const FeedRequest &Q : {List, Watch, Relay}) {
     std::string Target = feedTarget(Q);
     std::size_t At = Target.find('?');
-    auto Read = readFeedQuestion(Target.substr(0, At), Target.substr(At + 1));
+    auto Read = parseFeedRequest(Target.substr(0, At), Target.substr(At + 1));
     REQUIRE(Read);
     CHECK(*Read == Q);
   }
-  CHECK_FALSE(readFeedQuestion("/other/x", ""));
-  CHECK(readFeedQuestion("/feed/x", "since=abc")->Since == std::nullopt);
+  CHECK_FALSE(parseFeedRequest("/other/x", ""));
+  CHECK(parseFeedRequest("/feed/x", "since=abc")->Since == std::nullopt);
 }
--- a/tests/correctness/WireObjectsAreRead.cpp
+++ b/tests/correctness/WireObjectsAreRead.cpp
@@ -100,12 +100,12 @@
 }
 
 TEST_CASE("the directory's question and answer") {
-  EntryQuestion Q =
-      wire::readQuestion("name=a.example&region=sv%65aland&zone=hall+1");
+  EntryQuery Q =
+      wire::parseEntryQuery("name=a.example&region=sv%65aland&zone=hall+1");
   CHECK(Q.Caller.Reg == Region("svealand"));
   CHECK(Q.Caller.Zone == AvailabilityZone("hall 1"));
-  CHECK(wire::readQuestion("").Caller == Place());
-  CHECK(wire::readQuestion("zone=%").Caller.Zone == AvailabilityZone("%"));
+  CHECK(wire::parseEntryQuery("").Caller == Place());
+  CHECK(wire::parseEntryQuery("zone=%").Caller.Zone == AvailabilityZone("%"));
   auto Doc = nlohmann::json::parse(
       wire::writeAddresses({{"10.0.0.1", 80}, {"10.0.0.2", 81}}, Millis(1500)));
   CHECK(Doc["addrs"] == nlohmann::json({"10.0.0.1:80", "10.0.0.2:81"}));
--- a/tests/failure/PeersAreToldWhatIsStale.cpp
+++ b/tests/failure/PeersAreToldWhatIsStale.cpp
@@ -14,7 +14,7 @@
 
 /// How old this daemon says that its word on \p Kind is.
 Duration ageOf(FrontFixture &Bed, const std::string &Kind) {
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = Kind;
   auto Page = readPage(Bed.ask(Bed.Set.Peers, feedTarget(Q)));
   REQUIRE_MESSAGE(Page, Page.error().Detail);
@@ -37,7 +37,7 @@
   start();
   Store.setFaults({.BusyKind = "config"});
   runFor(MostFeedAge + Seconds(2));
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = "config";
   Q.Since = 100000;
   Q.Wait = Seconds(20);
@@ -54,7 +54,7 @@
 TEST_CASE_FIXTURE(FrontFixture,
                   "one who passes the word on knows how old it is") {
   start();
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = "servers";
   Q.Since = 100000;
   Q.Wait = Seconds(20);
@@ -75,7 +75,7 @@
   Store.setFaults({.Mode = StoreMode::Busy});
   open();
   runFor(Millis(200));
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = "servers";
   CHECK(readPage(ask(Set.Peers, feedTarget(Q))).error().Code ==
         ResultCode::PeerUnreachable);
--- a/tests/failure/WordsDoNotCircle.cpp
+++ b/tests/failure/WordsDoNotCircle.cpp
@@ -29,7 +29,7 @@
 
   /// Asks, and asks again whenever it is answered, as a daemon does.
   void askOn(bool Relays) {
-    FeedQuestion Q;
+    FeedRequest Q;
     Q.Kind = "config";
     Q.Since = Cache.revision();
     Q.Wait = Seconds(20);
--- a/tests/fuzz/DocumentTargets.cpp
+++ b/tests/fuzz/DocumentTargets.cpp
@@ -147,14 +147,14 @@
 }
 
 void query(const std::string &Input) {
-  (void)wire::readQuestion(Input);
-  auto Q = readFeedQuestion("/feed/servers", Input);
+  (void)wire::parseEntryQuery(Input);
+  auto Q = parseFeedRequest("/feed/servers", Input);
   require(Q.has_value(), "a feed's path is one, whatever the query");
   require(queryParameter("a=" + percentEncoded(Input), "a") == Input,
           "an encoded value is read back");
   std::string Target = feedTarget(*Q);
   std::size_t Mark = Target.find('?');
-  auto Back = readFeedQuestion(Target.substr(0, Mark), Target.substr(Mark + 1));
+  auto Back = parseFeedRequest(Target.substr(0, Mark), Target.substr(Mark + 1));
   require(Back && (Q->Since || Back->After == Q->After),
           "a question survives the way");
 }
