--- a/packages/front/FeedAnswers.cpp
+++ b/packages/front/FeedAnswers.cpp
@@ -1,4 +1,4 @@
-//===- FeedAnswers.cpp ----------------------------------------------------===//
+//===- FeedReplyCache.cpp ----------------------------------------------------===//
 #include "front/FeedAnswers.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 ServerReply made(std::string Body) {
   ServerReply R;
   std::optional<std::string> Packed;
-  if (Body.size() >= FeedAnswers::LeastDeflated)
+  if (Body.size() >= FeedReplyCache::LeastDeflated)
     Packed = deflated(Body);
   if (Packed)
     R.Headers.push_back({"Content-Encoding", DeflateCoding});
@@ -36,7 +36,7 @@
 
 } // namespace
 
-ServerReply FeedAnswers::reply(const FeedAnswerKey &Key, Instant Now,
+ServerReply FeedReplyCache::reply(const FeedReplyKey &Key, Instant Now,
                                const std::function<std::string()> &Write) {
   expire(Now);
   if (auto Found = Kept.find(Key); Found != Kept.end())
@@ -49,7 +49,7 @@
   return R;
 }
 
-void FeedAnswers::keep(const FeedAnswerKey &Key, const ServerReply &R,
+void FeedReplyCache::keep(const FeedReplyKey &Key, const ServerReply &R,
                        Instant Now) {
   if (Kept.size() >= MostKept)
     Kept.erase(std::ranges::min_element(
@@ -57,7 +57,7 @@
   Kept.emplace(Key, Answer{R, Now});
 }
 
-void FeedAnswers::expire(Instant Now) {
+void FeedReplyCache::expire(Instant Now) {
   std::erase_if(Kept, [Now](const auto &Entry) {
     return Now - Entry.second.MadeAt >= KeptFor;
   });
--- a/packages/front/FeedAnswers.h
+++ b/packages/front/FeedAnswers.h
@@ -1,11 +1,11 @@
-//===- FeedAnswers.h - One answer made for many peers -----------*- C++ -*-===//
+//===- FeedReplyCache.h - One answer made for many peers -----------*- C++ -*-===//
 //
 // The load that it answers: sixteen peers request the same configuration within
 // a moment. Sixteen times 0.7 MB are 6 s of a link of 14 Mbit/s, longer than a
 // change may take to be in force. A configuration repeats the same keys, so it
 // deflates well; it is deflated once for all peers.
 //
-//   FeedAnswers Answers;
+//   FeedReplyCache Answers;
 //   A.reply(Answers.reply(Key, Now, [&] { return writePage(P); }));
 //
 //===----------------------------------------------------------------------===//
@@ -25,17 +25,17 @@
 /// Identifies the content of an answer. The age of the data is not part of it
 /// and is sent beside the body: a cached answer would report too young an age,
 /// and two daemons that lost the store would take each other's data for fresh.
-struct FeedAnswerKey {
+struct FeedReplyKey {
   std::string Kind;
   std::string After;                  ///< Of a page.
   std::optional<std::uint64_t> Since; ///< Of changes.
   std::uint64_t Revision = 0;         ///< Newest one that it covers.
 
-  friend auto operator<=>(const FeedAnswerKey &,
-                          const FeedAnswerKey &) = default;
+  friend auto operator<=>(const FeedReplyKey &,
+                          const FeedReplyKey &) = default;
 };
 
-class FeedAnswers {
+class FeedReplyCache {
 public:
   /// How long an answer is kept: daemons that start together send their
   /// requests within this time.
@@ -47,7 +47,7 @@
 
   /// The answer for \p Key, made by \p Write if none is kept. Only for peers
   /// that accept deflated bodies.
-  ServerReply reply(const FeedAnswerKey &Key, Instant Now,
+  ServerReply reply(const FeedReplyKey &Key, Instant Now,
                     const std::function<std::string()> &Write);
   /// Forgets what was made too long ago.
   void expire(Instant Now);
@@ -59,9 +59,9 @@
     Instant MadeAt;
   };
 
-  void keep(const FeedAnswerKey &Key, const ServerReply &R, Instant Now);
+  void keep(const FeedReplyKey &Key, const ServerReply &R, Instant Now);
 
-  std::map<FeedAnswerKey, Answer> Kept;
+  std::map<FeedReplyKey, Answer> Kept;
 };
 
 /// True when the peer accepts a deflated body.
--- a/packages/front/FeedServer.cpp
+++ b/packages/front/FeedServer.cpp
@@ -35,7 +35,7 @@
   return true;
 }
 
-void FeedServer::answer(const Waiter &W, const FeedAnswerKey &Key,
+void FeedServer::answer(const Waiter &W, const FeedReplyKey &Key,
                         const std::function<std::string()> &Write) {
   ServerReply R;
   if (W.Deflates)
@@ -48,7 +48,7 @@
 
 void FeedServer::answerPage(const Waiter &W, const KindCache &Cache) {
   const FeedRequest &Q = W.Question;
-  FeedAnswerKey Key{Q.Kind, Q.After, std::nullopt, Cache.revision()};
+  FeedReplyKey Key{Q.Kind, Q.After, std::nullopt, Cache.revision()};
   answer(W, Key, [&] {
     KindPage P = Cache.page(Q.After);
     P.Age = Age(Q.Kind);
@@ -65,7 +65,7 @@
   }
   if (Cache.lastChange() <= *Q.Since && !Anyway)
     return false;
-  FeedAnswerKey Key{Q.Kind, {}, Q.Since, Cache.revision()};
+  FeedReplyKey Key{Q.Kind, {}, Q.Since, Cache.revision()};
   answer(W, Key, [&] {
     KindChanges C = *Cache.since(*Q.Since);
     C.Age = Age(Q.Kind);
--- a/packages/front/FeedServer.h
+++ b/packages/front/FeedServer.h
@@ -57,13 +57,13 @@
   bool tryAnswer(const Waiter &W, bool Anyway);
   void answerPage(const Waiter &W, const KindCache &Cache);
   bool tryChanges(const Waiter &W, const KindCache &Cache, bool Anyway);
-  void answer(const Waiter &W, const FeedAnswerKey &Key,
+  void answer(const Waiter &W, const FeedReplyKey &Key,
               const std::function<std::string()> &Write);
 
   TimerQueue &Timers;
   ViewFn View;
   AgeFn Age;
-  FeedAnswers Answers;
+  FeedReplyCache Answers;
   std::list<Waiter> Waiting;
   /// By kind: the last answer of the store that relaying peers know of.
   std::map<std::string, Instant> Relayed;
--- a/tests/correctness/FeedWordsSurviveTheWire.cpp
+++ b/tests/correctness/FeedWordsSurviveTheWire.cpp
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("an answer is made once for those who ask the same") {
-  FeedAnswers Answers;
+  FeedReplyCache Answers;
   Instant Now{Seconds(50)};
   unsigned Made = 0;
   auto Ask = [&](std::uint64_t Revision) {
@@ -63,14 +63,14 @@
   CHECK(Made == 1);
   Ask(8);
   CHECK(Made == 2);
-  Now += FeedAnswers::KeptFor;
+  Now += FeedReplyCache::KeptFor;
   Ask(7);
   CHECK(Made == 3);
   CHECK(Answers.size() == 1);
 }
 
 TEST_CASE("a small answer goes out as it is") {
-  FeedAnswers Answers;
+  FeedReplyCache Answers;
   ServerReply R = Answers.reply({"config", {}, 4, 7}, Instant(),
                                 [] { return std::string("{}"); });
   CHECK(R.Body == "{}");
@@ -78,11 +78,11 @@
 }
 
 TEST_CASE("the answers that are kept are bounded") {
-  FeedAnswers Answers;
-  for (std::uint64_t Since = 0; Since < 5 * FeedAnswers::MostKept; ++Since)
+  FeedReplyCache Answers;
+  for (std::uint64_t Since = 0; Since < 5 * FeedReplyCache::MostKept; ++Since)
     Answers.reply({"config", {}, Since, 900}, Instant(),
                   [] { return std::string(5000, 'x'); });
-  CHECK(Answers.size() == FeedAnswers::MostKept);
+  CHECK(Answers.size() == FeedReplyCache::MostKept);
 }
 
 TEST_CASE("what is no answer is an error, never an empty list") {
