--- a/packages/front/FollowedKind.h
+++ b/packages/front/FollowedKind.h
@@ -1,4 +1,4 @@
-//===- FollowedKind.h - One kind of the store's objects ---------*- C++ -*-===//
+//===- WatchedKind.h - One kind of the store's objects ---------*- C++ -*-===//
 //
 // A watch of one kind, through the store or a peer, and the state that is
 // needed to switch from a stale source: how long peers have been ahead, and
@@ -17,10 +17,10 @@
 
 namespace shallot {
 
-template <CallableStore Store> class FollowedKind {
+template <CallableStore Store> class WatchedKind {
 public:
   /// \p Label is the kind's name in logs.
-  FollowedKind(EventLoop &Loop, HttpClient &Http, Store &S, FrontDaemon &D,
+  WatchedKind(EventLoop &Loop, HttpClient &Http, Store &S, FrontDaemon &D,
                std::string Kind, std::string Label, KindWatchOptions O,
                KindWatchHooks H)
       : Loop(Loop), D(D), Label(std::move(Label)),
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -2,7 +2,7 @@
 //
 // Watches the configuration, the replicas' registrations, the evacuations of
 // zones and the records of requests that crash replicas in the store, directly
-// or through a peer, hands them to a FrontDaemon (StoreEntries.h) and passes
+// or through a peer, hands them to a FrontDaemon (StoreObjectApplier.h) and passes
 // them on to peers.
 //
 //===----------------------------------------------------------------------===//
@@ -59,7 +59,7 @@
 class ServingFeed {
 public:
   ServingFeed(EventLoop &Loop, HttpClient &Http, Store &S, FrontDaemon &D,
-              ServingForms F)
+              StoreSchema F)
       : Loop(Loop), D(D), Forms(std::move(F)), Entries(Loop, D, Forms),
         Configs(Loop, Http, S, D, Forms.ConfigKind, "config",
                 options(ConfigPause), configHooks()),
@@ -95,7 +95,7 @@
   }
 
 private:
-  using Kind = FollowedKind<Store>;
+  using Kind = WatchedKind<Store>;
 
   struct NamedKind {
     Kind *Objects = nullptr;
@@ -320,8 +320,8 @@
 
   EventLoop &Loop;
   FrontDaemon &D;
-  ServingForms Forms;
-  StoreEntries Entries;
+  StoreSchema Forms;
+  StoreObjectApplier Entries;
   Kind Configs;
   Kind Replicas;
   Kind Records;
--- a/packages/front/StoreEntries.cpp
+++ b/packages/front/StoreEntries.cpp
@@ -1,4 +1,4 @@
-//===- StoreEntries.cpp ---------------------------------------------------===//
+//===- StoreObjectApplier.cpp ---------------------------------------------------===//
 #include "front/StoreEntries.h"
 
 namespace shallot {
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void StoreEntries::takeConfig(const KindObject &O) {
+void StoreObjectApplier::takeConfig(const KindObject &O) {
   if (O.Name != Forms.ConfigName)
     return;
   auto C = attempt([&] { return Forms.ReadConfig(O); });
@@ -32,7 +32,7 @@
     logUnreadable(O, C.error());
 }
 
-std::optional<ReplicaEntry> StoreEntries::read(const KindObject &O) const {
+std::optional<ReplicaEntry> StoreObjectApplier::read(const KindObject &O) const {
   auto E = attempt([&] { return Forms.ReadReplica(O); });
   if (E)
     return std::move(*E);
@@ -40,7 +40,7 @@
   return std::nullopt;
 }
 
-void StoreEntries::listReplicas(const std::vector<KindObject> &Now,
+void StoreObjectApplier::listReplicas(const std::vector<KindObject> &Now,
                                 std::uint64_t Revision) {
   std::vector<ReplicaEntry> Entries;
   for (const KindObject &O : Now)
@@ -53,7 +53,7 @@
   D.replicasListed();
 }
 
-void StoreEntries::takeReplica(const KindChange &C) {
+void StoreObjectApplier::takeReplica(const KindChange &C) {
   if (C.Removed) {
     logEvent(LogLevel::Info, "replica_vanished",
              {{"replica", C.Object.Name},
@@ -77,7 +77,7 @@
   D.replicas().put(std::move(*E), Loop.now());
 }
 
-void StoreEntries::listEvacuations(const std::vector<KindObject> &Now,
+void StoreObjectApplier::listEvacuations(const std::vector<KindObject> &Now,
                                    std::uint64_t Revision) {
   Evacuated.clear();
   for (const KindObject &O : Now)
@@ -88,7 +88,7 @@
   D.evacuate(Evacuated);
 }
 
-void StoreEntries::takeEvacuation(const KindChange &C) {
+void StoreObjectApplier::takeEvacuation(const KindChange &C) {
   AvailabilityZone Zone(C.Object.Name);
   bool Known = D.settings().Zones.contains(Zone);
   logEvent(Known ? LogLevel::Info : LogLevel::Warn,
--- a/packages/front/StoreEntries.h
+++ b/packages/front/StoreEntries.h
@@ -1,4 +1,4 @@
-//===- StoreEntries.h - The store's objects, handed to a daemon -*- C++ -*-===//
+//===- StoreObjectApplier.h - The store's objects, handed to a daemon -*- C++ -*-===//
 //
 // Reads the objects that the store's watches deliver and hands them to a
 // FrontDaemon: configurations, replicas' registrations and evacuations. What
@@ -20,7 +20,7 @@
 
 namespace shallot {
 
-struct ServingForms {
+struct StoreSchema {
   std::string ConfigKind;
   std::string ConfigName; ///< The one object of that kind that counts.
   std::string ReplicaKind;
@@ -31,9 +31,9 @@
   std::function<Result<ReplicaEntry>(const KindObject &)> ReadReplica;
 };
 
-class StoreEntries {
+class StoreObjectApplier {
 public:
-  StoreEntries(EventLoop &Loop, FrontDaemon &D, const ServingForms &Forms)
+  StoreObjectApplier(EventLoop &Loop, FrontDaemon &D, const StoreSchema &Forms)
       : Loop(Loop), D(D), Forms(Forms) {}
 
   /// Installs \p O if it is the configuration that counts.
@@ -51,7 +51,7 @@
 
   EventLoop &Loop;
   FrontDaemon &D;
-  const ServingForms &Forms;
+  const StoreSchema &Forms;
   std::set<AvailabilityZone> Evacuated;
 };
 
--- a/tests/FrontFixture.cpp
+++ b/tests/FrontFixture.cpp
@@ -87,11 +87,11 @@
 
 void FrontFixture::open() {
   auto D =
-      attempt([&] { return FrontDaemon::open(Loop, Set, wire::adapter(), 1); });
+      attempt([&] { return FrontDaemon::open(Loop, Set, wire::frontAdapter(), 1); });
   REQUIRE_MESSAGE(D, D.error().Detail);
   Daemon = std::move(*D);
   Feed = std::make_unique<ServingFeed<wire::WireStore>>(
-      Loop, Http, Client, *Daemon, wire::forms(Set));
+      Loop, Http, Client, *Daemon, wire::storeSchema(Set));
   Feed->start();
 }
 
