--- a/packages/front/EntryAddresses.cpp
+++ b/packages/front/EntryAddresses.cpp
@@ -89,7 +89,7 @@
   return {};
 }
 
-Sharing sharedByCarriers(const FleetView &View, const HostId &Self,
+Sharing sharingAmongCarriers(const FleetView &View, const HostId &Self,
                          const Region &Here) {
   std::set<const Member *> Carriers = allCarriers(View);
   bool SelfCarries = std::ranges::any_of(
--- a/packages/front/EntryAddresses.h
+++ b/packages/front/EntryAddresses.h
@@ -41,7 +41,7 @@
 /// carry) one connection to each replica, and its second request at a time goes
 /// to another region; and of an allowance of 630 second sends in ten seconds
 /// two to each of 295 daemons, most never used.
-Sharing sharedByCarriers(const FleetView &View, const HostId &Self,
+Sharing sharingAmongCarriers(const FleetView &View, const HostId &Self,
                          const Region &Here);
 
 /// Who sends to cold replicas: the carriers. Nobody when less than half of the
--- a/packages/front/FeedServer.cpp
+++ b/packages/front/FeedServer.cpp
@@ -80,7 +80,7 @@
     A.reply(problemReply(ResultCode::UnknownPath, R.Path));
     return;
   }
-  bool Stale = Q->Since && Age(Q->Kind) > MostFeedAge;
+  bool Stale = Q->Since && Age(Q->Kind) > MaxFeedAge;
   bool Full = Waiting.size() >= MaxWaiting;
   Waiter W{*Q, A, Timers.now() + Q->Wait, acceptsDeflated(R)};
   if (!tryAnswer(W, Stale || Full || Q->Wait <= Duration(0)))
@@ -102,7 +102,7 @@
   Instant Now = Timers.now();
   Answers.expire(Now);
   std::erase_if(Waiting, [&](const Waiter &W) {
-    bool Stale = W.Question.Since && Age(W.Question.Kind) > MostFeedAge;
+    bool Stale = W.Question.Since && Age(W.Question.Kind) > MaxFeedAge;
     return tryAnswer(W, Stale || Now >= W.Until);
   });
 }
--- a/packages/front/FeedSources.h
+++ b/packages/front/FeedSources.h
@@ -39,7 +39,7 @@
 /// A source whose data is older than this is stale: a change must be in force
 /// everywhere within 3 s or more, and watchers get an answer from the store
 /// once a second or two.
-inline constexpr Duration MostFeedAge = Millis(2200);
+inline constexpr Duration MaxFeedAge = Millis(2200);
 
 /// Daemons that one daemon serves: 16 changes of 20 KB are 0.2 s on a link of
 /// 14 Mbit/s, and 1,700 daemons in 7 regions need three levels.
--- a/packages/front/FleetLink.cpp
+++ b/packages/front/FleetLink.cpp
@@ -146,7 +146,7 @@
 }
 
 Sharing FleetLink::sharing() const {
-  return sharedByCarriers(view(), Set.Host, Set.Here.Reg);
+  return sharingAmongCarriers(view(), Set.Host, Set.Here.Reg);
 }
 
 WarmupSenders FleetLink::warmupSenders() const {
--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -131,7 +131,7 @@
 FrontDaemon::Impl::bookOptions(const FrontSettings &Set) {
   ReplicaRegistryOptions O;
   // A vanished replica may have been leaving since a little before we saw it.
-  O.LapseHold = std::min(O.LapseHold, Set.LeavingServes / 2);
+  O.LapseHold = std::min(O.LapseHold, Set.DrainDuration / 2);
   O.AwaitEvacuations = Set.Evacuation.has_value();
   O.Warmup = Set.Warmup;
   return O;
--- a/packages/front/FrontSettings.cpp
+++ b/packages/front/FrontSettings.cpp
@@ -62,7 +62,7 @@
 Result<void> readBounds(JsonFields &F, FrontSettings &S) {
   BOOST_LEAF_ASSIGN(S.StopGrace, seconds(F, "stop_grace_s"));
   BOOST_LEAF_AUTO(DrainMs, F.number("drain_ms", 0, MostSeconds * 1000));
-  S.LeavingServes = fromMillisF(DrainMs);
+  S.DrainDuration = fromMillisF(DrainMs);
   BOOST_LEAF_ASSIGN(S.EntryValidity, seconds(F, "entry_validity_s"));
   BOOST_LEAF_ASSIGN(S.Retries.Ratio, F.number("retry_ratio", 0, 1));
   BOOST_LEAF_ASSIGN(S.Retries.Window, seconds(F, "retry_window_s"));
--- a/packages/front/FrontSettings.h
+++ b/packages/front/FrontSettings.h
@@ -46,7 +46,7 @@
   std::vector<Endpoint> Seeds;
   std::map<AvailabilityZone, Region> Zones;
   Duration StopGrace{};     ///< From the stop signal to the kill.
-  Duration LeavingServes{}; ///< A leaving replica serves on for this long.
+  Duration DrainDuration{}; ///< A leaving replica serves on for this long.
   Duration EntryValidity{}; ///< The longest that callers keep an address.
   RetryAllowance Retries;
   /// An evacuated zone gets nothing later than this after the order; not set
--- a/packages/front/RelayedStore.h
+++ b/packages/front/RelayedStore.h
@@ -129,7 +129,7 @@
   template <typename T> bool judge(const FeedSource &Source, Attempt<T> &Got) {
     bool HistoryGone =
         !Got && Got.error().Code == ResultCode::PlatformHistoryGone;
-    bool Fresh = HistoryGone || (Got && Got->Age <= MostFeedAge);
+    bool Fresh = HistoryGone || (Got && Got->Age <= MaxFeedAge);
     if (Fresh)
       From.worked(Source);
     else
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -20,7 +20,7 @@
 namespace shallot {
 
 /// A daemon that watches the store gets an answer for each kind this often;
-/// others depend on it (MostFeedAge). A connection that fell silent is noticed
+/// others depend on it (MaxFeedAge). A connection that fell silent is noticed
 /// after this and the call's timeout, and then the other watches are renewed as
 /// well. Each call costs money.
 inline constexpr Duration StoreWatchWait = Millis(1500);
--- a/tests/FrontFixture.cpp
+++ b/tests/FrontFixture.cpp
@@ -23,7 +23,7 @@
   S.Metrics = Free();
   S.Store = Free();
   S.StopGrace = Millis(1500);
-  S.LeavingServes = Seconds(3);
+  S.DrainDuration = Seconds(3);
   S.EntryValidity = Seconds(5);
   S.Cores = 1;
   S.Evacuation = Seconds(5);
--- a/tests/correctness/EntryAddressesForCallers.cpp
+++ b/tests/correctness/EntryAddressesForCallers.cpp
@@ -100,11 +100,11 @@
       add(Zone, "r", 120);
   }
   add("z3", "q", 500);
-  Sharing S = sharedByCarriers(View, HostId("h1"), Region("r"));
+  Sharing S = sharingAmongCarriers(View, HostId("h1"), Region("r"));
   // Four fifths of the retries for five carriers, the rest for the 16 others.
   CHECK(S == Sharing{4, 1, 0.8 / 5});
   HostId Other("h3");
-  CHECK(sharedByCarriers(View, Other, Region("r")).RetryPart == 0.2 / 16);
+  CHECK(sharingAmongCarriers(View, Other, Region("r")).RetryPart == 0.2 / 16);
   CHECK(equalRetryPart(View, Other) == 1.0 / 21);
   // 63 connections: 9 for each of four carriers, where twenty get one each.
   CHECK(connectionShare(63, Distance::SameZone, S) == 9);
@@ -118,12 +118,12 @@
   for (int I = 0; I < 3; ++I)
     add("z1", "r", 120);
   // The one that is leaving still holds its connections.
-  CHECK(sharedByCarriers(View, HostId("h3"), Region("r")) ==
+  CHECK(sharingAmongCarriers(View, HostId("h3"), Region("r")) ==
         Sharing{4, 0, 1.0 / 4});
   // Whoever asks counts, even if no caller is sent to it.
   add("z1", "r", 500);
   add("z1", "r", 500);
-  CHECK(sharedByCarriers(View, HostId("h3"), Region("r")) ==
+  CHECK(sharingAmongCarriers(View, HostId("h3"), Region("r")) ==
         Sharing{4, 0, 0.2 / 3});
 }
 
--- a/tests/failure/PeersAreToldWhatIsStale.cpp
+++ b/tests/failure/PeersAreToldWhatIsStale.cpp
@@ -25,18 +25,18 @@
 
 TEST_CASE_FIXTURE(FrontFixture, "the age of a kind is that kind's own") {
   start();
-  CHECK(ageOf(*this, "config") < MostFeedAge);
+  CHECK(ageOf(*this, "config") < MaxFeedAge);
   Store.setFaults({.BusyKind = "config"});
-  runFor(MostFeedAge + Seconds(2));
-  CHECK(ageOf(*this, "config") > MostFeedAge);
-  CHECK(ageOf(*this, "servers") < MostFeedAge);
+  runFor(MaxFeedAge + Seconds(2));
+  CHECK(ageOf(*this, "config") > MaxFeedAge);
+  CHECK(ageOf(*this, "servers") < MaxFeedAge);
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
                   "one who waits for a stale kind is told at once") {
   start();
   Store.setFaults({.BusyKind = "config"});
-  runFor(MostFeedAge + Seconds(2));
+  runFor(MaxFeedAge + Seconds(2));
   FeedRequest Q;
   Q.Kind = "config";
   Q.Since = 100000;
@@ -48,7 +48,7 @@
   auto Got = readChanges(exchange(Http, std::move(R)));
   REQUIRE_MESSAGE(Got, Got.error().Detail);
   CHECK(Got->Changes.empty());
-  CHECK(Got->Age > MostFeedAge);
+  CHECK(Got->Age > MaxFeedAge);
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
@@ -62,7 +62,7 @@
   HttpRequest R;
   R.To = Set.Peers;
   R.Path = feedTarget(Q);
-  R.Timeout = MostFeedAge;
+  R.Timeout = MaxFeedAge;
   // Nothing changes; the answer comes when the store was heard from.
   auto Got = readChanges(exchange(Http, std::move(R)));
   REQUIRE_MESSAGE(Got, Got.error().Detail);
