--- a/packages/front/EntryAddresses.cpp
+++ b/packages/front/EntryAddresses.cpp
@@ -90,7 +90,7 @@
 }
 
 Sharing sharingAmongCarriers(const FleetView &View, const HostId &Self,
-                         const Region &Here) {
+                             const Region &Here) {
   std::set<const Member *> Carriers = allCarriers(View);
   bool SelfCarries = std::ranges::any_of(
       Carriers, [&](const Member *M) { return M->Id.Host == Self; });
--- a/packages/front/EntryAddresses.h
+++ b/packages/front/EntryAddresses.h
@@ -42,7 +42,7 @@
 /// to another region; and of an allowance of 630 second sends in ten seconds
 /// two to each of 295 daemons, most never used.
 Sharing sharingAmongCarriers(const FleetView &View, const HostId &Self,
-                         const Region &Here);
+                             const Region &Here);
 
 /// Who sends to cold replicas: the carriers. Nobody when less than half of the
 /// fleet is seen: this daemon may be cut off from the rest, which goes on
--- a/packages/front/FeedAnswers.cpp
+++ b/packages/front/FeedAnswers.cpp
@@ -1,4 +1,4 @@
-//===- FeedReplyCache.cpp ----------------------------------------------------===//
+//===- FeedAnswers.cpp ----------------------------------------------------===//
 #include "front/FeedAnswers.h"
 
 #include <algorithm>
@@ -37,7 +37,7 @@
 } // namespace
 
 ServerReply FeedReplyCache::reply(const FeedReplyKey &Key, Instant Now,
-                               const std::function<std::string()> &Write) {
+                                  const std::function<std::string()> &Write) {
   expire(Now);
   if (auto Found = Kept.find(Key); Found != Kept.end())
     return Found->second.Reply;
@@ -50,7 +50,7 @@
 }
 
 void FeedReplyCache::keep(const FeedReplyKey &Key, const ServerReply &R,
-                       Instant Now) {
+                          Instant Now) {
   if (Kept.size() >= MostKept)
     Kept.erase(std::ranges::min_element(
         Kept, {}, [](const auto &Entry) { return Entry.second.MadeAt; }));
--- a/packages/front/FeedAnswers.h
+++ b/packages/front/FeedAnswers.h
@@ -1,4 +1,4 @@
-//===- FeedReplyCache.h - One answer made for many peers -----------*- C++ -*-===//
+//===- FeedAnswers.h - One reply for many peers -----------------*- C++ -*-===//
 //
 // The load that it answers: sixteen peers request the same configuration within
 // a moment. Sixteen times 0.7 MB are 6 s of a link of 14 Mbit/s, longer than a
@@ -31,8 +31,7 @@
   std::optional<std::uint64_t> Since; ///< Of changes.
   std::uint64_t Revision = 0;         ///< Newest one that it covers.
 
-  friend auto operator<=>(const FeedReplyKey &,
-                          const FeedReplyKey &) = default;
+  friend auto operator<=>(const FeedReplyKey &, const FeedReplyKey &) = default;
 };
 
 class FeedReplyCache {
--- a/packages/front/FeedWire.cpp
+++ b/packages/front/FeedWire.cpp
@@ -124,7 +124,7 @@
 }
 
 std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
-                                             std::string_view Query) {
+                                            std::string_view Query) {
   if (!Path.starts_with(PathStart))
     return std::nullopt;
   FeedRequest Q;
--- a/packages/front/FeedWire.h
+++ b/packages/front/FeedWire.h
@@ -36,7 +36,7 @@
 std::string feedTarget(const FeedRequest &Q);
 /// Nothing when the request is not of this form.
 std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
-                                             std::string_view Query);
+                                            std::string_view Query);
 
 /// Reports that the store last answered \p Age ago.
 HttpHeader ageHeader(Duration Age);
--- a/packages/front/FollowedKind.h
+++ b/packages/front/FollowedKind.h
@@ -1,4 +1,4 @@
-//===- WatchedKind.h - One kind of the store's objects ---------*- C++ -*-===//
+//===- FollowedKind.h - Watch of one object kind ----------------*- C++ -*-===//
 //
 // A watch of one kind, through the store or a peer, and the state that is
 // needed to switch from a stale source: how long peers have been ahead, and
@@ -21,8 +21,8 @@
 public:
   /// \p Label is the kind's name in logs.
   WatchedKind(EventLoop &Loop, HttpClient &Http, Store &S, FrontDaemon &D,
-               std::string Kind, std::string Label, KindWatchOptions O,
-               KindWatchHooks H)
+              std::string Kind, std::string Label, KindWatchOptions O,
+              KindWatchHooks H)
       : Loop(Loop), D(D), Label(std::move(Label)),
         Source(Loop, Http, S,
                FeedSources(D.settings().Host, D.settings().Here.Reg),
--- a/packages/front/FrontDaemon.h
+++ b/packages/front/FrontDaemon.h
@@ -33,8 +33,7 @@
   Place Caller;
   std::string Host; ///< That it wants to send requests to.
 
-  friend bool operator==(const EntryQuery &,
-                         const EntryQuery &) = default;
+  friend bool operator==(const EntryQuery &, const EntryQuery &) = default;
 };
 
 /// What the deployment's own names and forms are; the rest is the product's.
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -2,8 +2,8 @@
 //
 // Watches the configuration, the replicas' registrations, the evacuations of
 // zones and the records of requests that crash replicas in the store, directly
-// or through a peer, hands them to a FrontDaemon (StoreObjectApplier.h) and passes
-// them on to peers.
+// or through a peer, hands them to a FrontDaemon (StoreEntries.h) and
+// passes them on to peers.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_SERVINGFEED_H
--- a/packages/front/StoreEntries.cpp
+++ b/packages/front/StoreEntries.cpp
@@ -1,4 +1,4 @@
-//===- StoreObjectApplier.cpp ---------------------------------------------------===//
+//===- StoreEntries.cpp ---------------------------------------------------===//
 #include "front/StoreEntries.h"
 
 namespace shallot {
@@ -32,7 +32,8 @@
     logUnreadable(O, C.error());
 }
 
-std::optional<ReplicaEntry> StoreObjectApplier::read(const KindObject &O) const {
+std::optional<ReplicaEntry>
+StoreObjectApplier::read(const KindObject &O) const {
   auto E = attempt([&] { return Forms.ReadReplica(O); });
   if (E)
     return std::move(*E);
@@ -41,7 +42,7 @@
 }
 
 void StoreObjectApplier::listReplicas(const std::vector<KindObject> &Now,
-                                std::uint64_t Revision) {
+                                      std::uint64_t Revision) {
   std::vector<ReplicaEntry> Entries;
   for (const KindObject &O : Now)
     if (auto E = read(O))
@@ -78,7 +79,7 @@
 }
 
 void StoreObjectApplier::listEvacuations(const std::vector<KindObject> &Now,
-                                   std::uint64_t Revision) {
+                                         std::uint64_t Revision) {
   Evacuated.clear();
   for (const KindObject &O : Now)
     Evacuated.insert(AvailabilityZone(O.Name));
--- a/packages/front/StoreEntries.h
+++ b/packages/front/StoreEntries.h
@@ -1,4 +1,4 @@
-//===- StoreObjectApplier.h - The store's objects, handed to a daemon -*- C++ -*-===//
+//===- StoreEntries.h - Store objects to daemon -----------------*- C++ -*-===//
 //
 // Reads the objects that the store's watches deliver and hands them to a
 // FrontDaemon: configurations, replicas' registrations and evacuations. What
--- a/tests/FrontFixture.cpp
+++ b/tests/FrontFixture.cpp
@@ -86,8 +86,8 @@
 }
 
 void FrontFixture::open() {
-  auto D =
-      attempt([&] { return FrontDaemon::open(Loop, Set, wire::frontAdapter(), 1); });
+  auto D = attempt(
+      [&] { return FrontDaemon::open(Loop, Set, wire::frontAdapter(), 1); });
   REQUIRE_MESSAGE(D, D.error().Detail);
   Daemon = std::move(*D);
   Feed = std::make_unique<ServingFeed<wire::WireStore>>(
