--- a/packages/front/CatchUp.cpp
+++ b/packages/front/CatchUp.cpp
@@ -3,12 +3,12 @@
 
 namespace shallot {
 
-bool CatchUp::due(bool Behind, bool Moving, Instant Now) {
+bool CatchUp::shouldSwitch(bool Behind, bool Progressing, Instant Now) {
   if (!Behind) {
     WaitingSince.reset();
     return false;
   }
-  if (!WaitingSince || Moving) {
+  if (!WaitingSince || Progressing) {
     WaitingSince = Now;
     return false;
   }
--- a/packages/front/CatchUp.h
+++ b/packages/front/CatchUp.h
@@ -33,9 +33,9 @@
 class CatchUp {
 public:
   /// To be called a few times a second. \p Behind: a peer has read more.
-  /// \p Moving: since the last call this daemon has read something, or a part
+  /// \p Progressing: since the last call this daemon has read something, or a part
   /// of an answer has come. True when another source is to be asked now.
-  bool due(bool Behind, bool Moving, Instant Now);
+  bool shouldSwitch(bool Behind, bool Progressing, Instant Now);
 
 private:
   std::optional<Instant> WaitingSince;
--- a/packages/front/FeedAnswers.cpp
+++ b/packages/front/FeedAnswers.cpp
@@ -26,7 +26,7 @@
 ServerReply made(std::string Body) {
   ServerReply R;
   std::optional<std::string> Packed;
-  if (Body.size() >= FeedReplyCache::LeastDeflated)
+  if (Body.size() >= FeedReplyCache::MinDeflateSize)
     Packed = deflated(Body);
   if (Packed)
     R.Headers.push_back({"Content-Encoding", DeflateCoding});
@@ -39,10 +39,10 @@
 ServerReply FeedReplyCache::reply(const FeedReplyKey &Key, Instant Now,
                                   const std::function<std::string()> &Write) {
   expire(Now);
-  if (auto Found = Kept.find(Key); Found != Kept.end())
+  if (auto Found = Entries.find(Key); Found != Entries.end())
     return Found->second.Reply;
   std::string Body = Write();
-  bool Large = Body.size() >= LeastDeflated;
+  bool Large = Body.size() >= MinDeflateSize;
   ServerReply R = made(std::move(Body));
   if (Large)
     keep(Key, R, Now);
@@ -51,15 +51,15 @@
 
 void FeedReplyCache::keep(const FeedReplyKey &Key, const ServerReply &R,
                           Instant Now) {
-  if (Kept.size() >= MostKept)
-    Kept.erase(std::ranges::min_element(
-        Kept, {}, [](const auto &Entry) { return Entry.second.MadeAt; }));
-  Kept.emplace(Key, Answer{R, Now});
+  if (Entries.size() >= MaxEntries)
+    Entries.erase(std::ranges::min_element(
+        Entries, {}, [](const auto &Entry) { return Entry.second.MadeAt; }));
+  Entries.emplace(Key, Answer{R, Now});
 }
 
 void FeedReplyCache::expire(Instant Now) {
-  std::erase_if(Kept, [Now](const auto &Entry) {
-    return Now - Entry.second.MadeAt >= KeptFor;
+  std::erase_if(Entries, [Now](const auto &Entry) {
+    return Now - Entry.second.MadeAt >= KeepTime;
   });
 }
 
--- a/packages/front/FeedAnswers.h
+++ b/packages/front/FeedAnswers.h
@@ -38,11 +38,11 @@
 public:
   /// How long an answer is kept: daemons that start together send their
   /// requests within this time.
-  static constexpr Duration KeptFor = Seconds(2);
+  static constexpr Duration KeepTime = Seconds(2);
   /// Smaller bodies are not deflated.
-  static constexpr std::size_t LeastDeflated = 1024;
+  static constexpr std::size_t MinDeflateSize = 1024;
   /// The newest answers are kept; peers at the same revision share one.
-  static constexpr std::size_t MostKept = 32;
+  static constexpr std::size_t MaxEntries = 32;
 
   /// The answer for \p Key, made by \p Write if none is kept. Only for peers
   /// that accept deflated bodies.
@@ -50,7 +50,7 @@
                     const std::function<std::string()> &Write);
   /// Forgets what was made too long ago.
   void expire(Instant Now);
-  std::size_t size() const { return Kept.size(); }
+  std::size_t size() const { return Entries.size(); }
 
 private:
   struct Answer {
@@ -60,7 +60,7 @@
 
   void keep(const FeedReplyKey &Key, const ServerReply &R, Instant Now);
 
-  std::map<FeedReplyKey, Answer> Kept;
+  std::map<FeedReplyKey, Answer> Entries;
 };
 
 /// True when the peer accepts a deflated body.
--- a/packages/front/FeedSources.cpp
+++ b/packages/front/FeedSources.cpp
@@ -121,9 +121,9 @@
   return {};
 }
 
-void FeedSources::worked(const FeedSource &S) { Failures.erase(nameOf(S)); }
+void FeedSources::recordSuccess(const FeedSource &S) { Failures.erase(nameOf(S)); }
 
-void FeedSources::failed(const FeedSource &S, Random &Rng, Instant Now) {
+void FeedSources::recordFailure(const FeedSource &S, Random &Rng, Instant Now) {
   Bad &B = Failures[nameOf(S)];
   // One call may be lost on the way, or with a connection that fell silent. The
   // daemon that the others read from tries the store again first.
--- a/packages/front/FeedSources.h
+++ b/packages/front/FeedSources.h
@@ -56,8 +56,8 @@
   FeedSource next(bool Listed, Instant Now);
   /// \p Peer is known to have more than this daemon: the next call goes there.
   void prefer(const Member &Peer) { Preferred = Peer; }
-  void worked(const FeedSource &S);
-  void failed(const FeedSource &S, Random &Rng, Instant Now);
+  void recordSuccess(const FeedSource &S);
+  void recordFailure(const FeedSource &S, Random &Rng, Instant Now);
   /// True when \p S may no longer answer: its daemon left or is suspected.
   bool lost(const FeedSource &S) const;
   /// This daemon reads from the store on behalf of its region.
--- a/packages/front/FollowedKind.h
+++ b/packages/front/FollowedKind.h
@@ -64,9 +64,9 @@
                std::uint64_t ReadState::*Field, bool Once, Duration Period) {
     std::uint64_t Read = Mine.*Field;
     std::uint64_t Known = Once ? std::max(Read, Followed) : Read;
-    bool Moving =
+    bool Progressing =
         Read != std::exchange(Before, Read) || Source.receivedWithin(Period);
-    if (Behind.due(Most.*Field > Known, Moving, Loop.now()))
+    if (Behind.shouldSwitch(Most.*Field > Known, Progressing, Loop.now()))
       askAhead(Field, Known);
   }
 
--- a/packages/front/RelayedStore.h
+++ b/packages/front/RelayedStore.h
@@ -131,9 +131,9 @@
         !Got && Got.error().Code == ResultCode::PlatformHistoryGone;
     bool Fresh = HistoryGone || (Got && Got->Age <= MaxFeedAge);
     if (Fresh)
-      From.worked(Source);
+      From.recordSuccess(Source);
     else
-      From.failed(Source, Rng, Loop.now());
+      From.recordFailure(Source, Rng, Loop.now());
     return Fresh;
   }
 
--- a/tests/correctness/FeedWordsSurviveTheWire.cpp
+++ b/tests/correctness/FeedWordsSurviveTheWire.cpp
@@ -63,7 +63,7 @@
   CHECK(Made == 1);
   Ask(8);
   CHECK(Made == 2);
-  Now += FeedReplyCache::KeptFor;
+  Now += FeedReplyCache::KeepTime;
   Ask(7);
   CHECK(Made == 3);
   CHECK(Answers.size() == 1);
@@ -79,10 +79,10 @@
 
 TEST_CASE("the answers that are kept are bounded") {
   FeedReplyCache Answers;
-  for (std::uint64_t Since = 0; Since < 5 * FeedReplyCache::MostKept; ++Since)
+  for (std::uint64_t Since = 0; Since < 5 * FeedReplyCache::MaxEntries; ++Since)
     Answers.reply({"config", {}, Since, 900}, Instant(),
                   [] { return std::string(5000, 'x'); });
-  CHECK(Answers.size() == FeedReplyCache::MostKept);
+  CHECK(Answers.size() == FeedReplyCache::MaxEntries);
 }
 
 TEST_CASE("what is no answer is an error, never an empty list") {
--- a/tests/failure/CatchUpIsPatient.cpp
+++ b/tests/failure/CatchUpIsPatient.cpp
@@ -16,10 +16,10 @@
   Instant Now{Seconds(1000)};
 
   /// Calls each 100 ms for \p For; how often another source was to be asked.
-  unsigned asked(bool Behind, bool Moving, Duration For) {
+  unsigned asked(bool Behind, bool Progressing, Duration For) {
     unsigned Times = 0;
     for (Instant End = Now + For; Now < End; Now += Millis(100))
-      Times += C.due(Behind, Moving, Now);
+      Times += C.shouldSwitch(Behind, Progressing, Now);
     return Times;
   }
 };
@@ -29,7 +29,7 @@
 TEST_CASE_FIXTURE(CatchUpFixture, "the patience begins with the first word") {
   CHECK(asked(false, false, Seconds(20)) == 0);
   CHECK(asked(true, false, CatchUpTimeout) == 0);
-  CHECK(C.due(true, false, Now));
+  CHECK(C.shouldSwitch(true, false, Now));
 }
 
 TEST_CASE_FIXTURE(CatchUpFixture, "what arrives is waited for") {
--- a/tests/failure/FeedSourcesFailOver.cpp
+++ b/tests/failure/FeedSourcesFailOver.cpp
@@ -81,14 +81,14 @@
                   "a source without word is left for another, then back") {
   FeedSources F = of(follower(), "east");
   FeedSource First = F.next(true, Now);
-  F.failed(First, Rng, Now);
+  F.recordFailure(First, Rng, Now);
   FeedSource Second = F.next(true, Now);
   CHECK(Second != First);
-  F.failed(Second, Rng, Now);
+  F.recordFailure(Second, Rng, Now);
   FeedSource Third = F.next(true, Now);
   REQUIRE(Third.Peer);
   CHECK(Third.Peer->Reg == Region("west"));
-  F.failed(Third, Rng, Now);
+  F.recordFailure(Third, Rng, Now);
   CHECK(F.next(true, Now).direct());
   CHECK(F.next(true, Now + Seconds(3)) == First);
 }
@@ -98,14 +98,14 @@
   std::string First = watchers()[0];
   FeedSources F = of(First, "east");
   CHECK(F.next(true, Now).direct());
-  F.failed({}, Rng, Now);
+  F.recordFailure({}, Rng, Now);
   CHECK(F.next(true, Now).direct());
-  F.failed({}, Rng, Now);
+  F.recordFailure({}, Rng, Now);
   // Those who watch for other regions: its own has only its own word.
   FeedSource Other = F.next(true, Now);
   REQUIRE(Other.Peer);
   CHECK(Other.Peer->Id.Host.str() == watchers()[1]);
-  F.worked({});
+  F.recordSuccess({});
   CHECK(F.next(true, Now).direct());
 }
 
@@ -115,7 +115,7 @@
   for (Instant End = Now + Seconds(9); Now < End; Now += Millis(300)) {
     FeedSource S = F.next(true, Now);
     Calls += S.direct();
-    F.failed(S, Rng, Now);
+    F.recordFailure(S, Rng, Now);
   }
   CHECK(Calls <= 5);
   CHECK(Calls >= 1);
@@ -140,7 +140,7 @@
   CHECK(Usual.Peer->Id.Host.str() == First);
   // It had nothing in time. Others that have just started are not asked: a
   // fleet that waits for itself in a circle answers nobody.
-  F.failed(Usual, Rng, Now);
+  F.recordFailure(Usual, Rng, Now);
   CHECK(F.next(false, Now).direct());
   CHECK(of(First, "east").next(false, Now).direct());
 }
@@ -193,7 +193,7 @@
   FeedSources F = of(Leaf, "east");
   FeedSource S = F.next(true, Now);
   // Silent, and not yet suspected: the watcher itself is asked.
-  F.failed(S, Rng, Now);
+  F.recordFailure(S, Rng, Now);
   CHECK(F.next(true, Now).Peer->Id.Host.str() == watchers()[0]);
   // Suspected: the order closes up behind it.
   for (Member &M : View.Members)
