--- a/packages/front/AnswerWriting.cpp
+++ b/packages/front/AnswerWriting.cpp
@@ -24,7 +24,7 @@
   CallerReply Reply;
   Reply.Headers.push_back({Names.Signatures, std::move(Signatures)});
   if (M.Missing > 0)
-    Reply.Headers.push_back({Names.Missing, std::to_string(M.Missing)});
+    Reply.Headers.push_back({Names.MissingParts, std::to_string(M.Missing)});
   Reply.Body = std::move(M.Records);
   return Reply;
 }
@@ -55,19 +55,18 @@
 OwnAnswer quarantinedAnswer() {
   return {ResultCode::RequestQuarantined,
           {},
-          "replicas crashed each time that they ran this request; it is not "
-          "sent to them any more"};
+          "replicas crashed each time that they ran this request; it is "
+          "quarantined and no longer sent"};
 }
 
-OwnAnswer noTrialAnswer() {
-  return {
-      ResultCode::TrialUnavailable, TrialRetry,
-      "replicas crashed under this request, and whether they crash of it is "
-      "being tried, or cannot be tried now"};
+OwnAnswer trialUnavailableAnswer() {
+  return {ResultCode::TrialUnavailable, TrialRetry,
+          "replicas crashed while running this request; a trial is in progress "
+          "or cannot be started now"};
 }
 
-void noteAnswer(Metrics &Meter, const NamedRequest &Name, const ForwardRun &Run,
-                const ForwardAnswer &A, Instant Now) {
+void recordAnswer(Metrics &Meter, const NamedRequest &Name,
+                  const ForwardRun &Run, const ForwardAnswer &A, Instant Now) {
   const ForwardRequest &Request = Run.request();
   Duration Took = Now - Request.Arrived;
   std::string Outcome(outcomeOf(A));
--- a/packages/front/AnswerWriting.h
+++ b/packages/front/AnswerWriting.h
@@ -1,8 +1,8 @@
-//===- AnswerWriting.h - What the caller and the log are told ---*- C++ -*-===//
+//===- AnswerWriting.h - Replies to callers and request log -----*- C++ -*-===//
 //
-// Converts the answer of a run into a reply in the deployment's header names,
-// and leaves behind what explains it: counts of all answers, and one log line
-// for each that is not whole or not in time. The counterpart of ReplyReading.h.
+// Converts the answer of a ForwardRun into a reply with the header names of the
+// deployment. Counts all answers and logs each one that is incomplete or late.
+// The counterpart of ReplyReading.h.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_ANSWERWRITING_H
@@ -18,22 +18,22 @@
 
 namespace shallot {
 
-/// The reply to the request \p Id.
+/// Reply to the request \p Id.
 CallerReply writeAnswer(ForwardAnswer A, const HeaderNames &Names,
                         const std::string &Id);
 
-/// A refusal or a failure of our own.
+/// Reply for a refusal or failure that originates in this daemon.
 CallerReply writeOwnAnswer(const OwnAnswer &A, std::string Id);
 
-/// The refusal of a request that is kept from replicas, and of one whose trial
-/// was not granted.
+/// Refusal of a quarantined request, and of a request whose trial was not
+/// granted.
 OwnAnswer quarantinedAnswer();
-OwnAnswer noTrialAnswer();
+OwnAnswer trialUnavailableAnswer();
 
 /// Counts \p A, the answer of \p Run to the request \p Name, and logs it if it
-/// is not whole or came after the route's objective.
-void noteAnswer(Metrics &Meter, const NamedRequest &Name, const ForwardRun &Run,
-                const ForwardAnswer &A, Instant Now);
+/// is incomplete or exceeded the latency objective of the route.
+void recordAnswer(Metrics &Meter, const NamedRequest &Name,
+                  const ForwardRun &Run, const ForwardAnswer &A, Instant Now);
 
 } // namespace shallot
 
--- a/packages/front/EntryAddresses.cpp
+++ b/packages/front/EntryAddresses.cpp
@@ -12,29 +12,32 @@
 
 namespace {
 
-using Fits = std::function<bool(const Member &)>;
+using MemberFilter = std::function<bool(const Member &)>;
 
-std::vector<const Member *> those(const FleetView &View, MemberState State,
-                                  const Fits &Near) {
+std::vector<const Member *> membersInState(const FleetView &View,
+                                           MemberState State,
+                                           const MemberFilter &Matches) {
   std::vector<const Member *> Found;
   for (const Member &M : View.Members)
-    if (M.State == State && Near(M))
+    if (M.State == State && Matches(M))
       Found.push_back(&M);
   return Found;
 }
 
-/// The hosts in state \p State that carry the callers of \p Near.
+/// The carriers for the callers of matching members, among those in state
+/// \p State.
 std::vector<const Member *> carriers(const FleetView &View, MemberState State,
-                                     const Fits &Near) {
+                                     const MemberFilter &Matches) {
   std::vector<const Member *> Zone;
   for (const Member &M : View.Members)
-    if (Near(M))
+    if (Matches(M))
       Zone.push_back(&M);
-  return chooseCarriers(those(View, State, Near), Zone, MaxEntryAddresses);
+  return chooseCarriers(membersInState(View, State, Matches), Zone,
+                        MaxEntryAddresses);
 }
 
-/// The carriers of all zones, and those that may still be serving: suspected
-/// daemons, and those that are leaving.
+/// Carriers of all zones, and daemons that may still be serving: suspected or
+/// leaving ones.
 std::set<const Member *> allCarriers(const FleetView &View) {
   std::set<AvailabilityZone> Zones;
   for (const Member &M : View.Members)
@@ -51,7 +54,7 @@
   return Found;
 }
 
-/// Daemons that may get a request, this one in any case.
+/// Number of daemons that may receive requests, always including this one.
 std::size_t servingDaemons(const FleetView &View, const HostId &Self) {
   return std::size_t(std::ranges::count_if(View.Members, [&](const Member &M) {
     return takesNewWork(M) || M.State == MemberState::Leaving ||
@@ -60,7 +63,7 @@
 }
 
 double retryPart(bool Carries, std::size_t Carriers, std::size_t Others) {
-  double OfOthers = Others == 0 ? 0 : OthersRetryPart;
+  double OfOthers = Others == 0 ? 0 : NonCarrierRetryShare;
   return Carries ? (1 - OfOthers) / double(Carriers)
                  : OfOthers / double(std::max<std::size_t>(1, Others));
 }
@@ -77,14 +80,14 @@
 
 std::vector<Endpoint> entryAddresses(const FleetView &View, const Place &Caller,
                                      const AllowedRegions &Regions) {
-  const std::array<Fits, 4> Rings = {
+  const std::array<MemberFilter, 4> Scopes = {
       [&](const Member &M) { return M.Zone == Caller.Zone; },
       [&](const Member &M) { return M.Reg == Caller.Reg; },
       [&](const Member &M) { return Regions.allows(M.Reg); },
       [](const Member &) { return true; }};
   for (MemberState State : {MemberState::Alive, MemberState::Suspect})
-    for (const Fits &Near : Rings)
-      if (auto Found = carriers(View, State, Near); !Found.empty())
+    for (const MemberFilter &Matches : Scopes)
+      if (auto Found = carriers(View, State, Matches); !Found.empty())
         return addresses(Found);
   return {};
 }
--- a/packages/front/FeedAnswers.cpp
+++ b/packages/front/FeedAnswers.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// \p Text in zlib's form; nothing when that is not smaller. The quickest
-/// level: 748 KB of routes become 66 KB in 3.2 ms, the best level saves a tenth
-/// of that for twice the time.
-std::optional<std::string> deflated(const std::string &Text) {
+/// Returns \p Text in zlib format, or nothing if that is not smaller. Uses the
+/// fastest level: 748 KB of routes become 66 KB in 3.2 ms; the best level saves
+/// a tenth of that for twice the time.
+std::optional<std::string> deflate(const std::string &Text) {
   uLongf Size = compressBound(Text.size());
   std::string Packed(Size, '\0');
   int Code = compress2(reinterpret_cast<Bytef *>(Packed.data()), &Size,
@@ -23,11 +23,11 @@
   return Packed;
 }
 
-ServerReply made(std::string Body) {
+ServerReply makeReply(std::string Body) {
   ServerReply R;
   std::optional<std::string> Packed;
   if (Body.size() >= FeedReplyCache::MinDeflateSize)
-    Packed = deflated(Body);
+    Packed = deflate(Body);
   if (Packed)
     R.Headers.push_back({"Content-Encoding", DeflateCoding});
   R.Body = Packed ? std::move(*Packed) : std::move(Body);
@@ -43,7 +43,7 @@
     return Found->second.Reply;
   std::string Body = Write();
   bool Large = Body.size() >= MinDeflateSize;
-  ServerReply R = made(std::move(Body));
+  ServerReply R = makeReply(std::move(Body));
   if (Large)
     keep(Key, R, Now);
   return R;
@@ -54,7 +54,7 @@
   if (Entries.size() >= MaxEntries)
     Entries.erase(std::ranges::min_element(
         Entries, {}, [](const auto &Entry) { return Entry.second.MadeAt; }));
-  Entries.emplace(Key, Answer{R, Now});
+  Entries.emplace(Key, CachedReply{R, Now});
 }
 
 void FeedReplyCache::expire(Instant Now) {
--- a/packages/front/FeedReport.cpp
+++ b/packages/front/FeedReport.cpp
@@ -5,14 +5,14 @@
 
 namespace {
 
-/// Answers that are logged one by one: a change of one registration has 300
-/// bytes; a page of them has 100 KB and comes at starts only.
+/// Replies of at least this size are logged individually. A change of one
+/// registration has 300 bytes; a page of registrations has 100 KB and occurs
+/// only at start.
 constexpr std::size_t LargeAnswer = 64 << 10;
 
 } // namespace
 
-void reportAnswer(Metrics &Meter, const FeedCallName &Call,
-                  const HttpReply &R) {
+void reportReply(Metrics &Meter, const FeedCallName &Call, const HttpReply &R) {
   const char *How = R.arrived() ? "arrived" : "failed";
   Meter.count("shallot_feed_answers_total",
               {{"kind", Call.Kind}, {"how", How}});
@@ -28,8 +28,8 @@
               {"ms", std::to_string(toMillis(R.Took))}});
 }
 
-void reportGivenUp(Metrics &Meter, const FeedCallName &Call,
-                   const TransferProgress &P) {
+void reportCancelled(Metrics &Meter, const FeedCallName &Call,
+                     const TransferProgress &P) {
   Meter.count("shallot_feed_replaced_total", {{"kind", Call.Kind}});
   Meter.count("shallot_feed_replaced_bytes_total", {{"kind", Call.Kind}},
               double(P.Bytes));
--- a/packages/front/FeedReport.h
+++ b/packages/front/FeedReport.h
@@ -1,9 +1,9 @@
-//===- FeedReport.h - What calls between daemons leave behind ---*- C++ -*-===//
+//===- FeedReport.h - Logs and metrics of feed calls ------------*- C++ -*-===//
 //
-// Log lines and counters by which one can tell, after a change came late,
-// whether answers were given up while they arrived, arrived slowly or never
-// began. The lines are few: answers that are large, and calls that were given
-// up in the midst of their answer.
+// Log lines and counters that show, after a late change, whether replies were
+// cancelled while they arrived, arrived slowly or never began. Only large
+// replies and calls that were cancelled during their reply are logged, to keep
+// the lines few.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FEEDREPORT_H
@@ -16,18 +16,19 @@
 
 namespace shallot {
 
-/// Which call it was.
+/// Identifies a call.
 struct FeedCallName {
   std::string Kind;
-  std::string From; ///< A daemon, or "store".
+  std::string From; ///< Name of a daemon, or "store".
 };
 
-/// A peer's answer to \p Call came, or failed.
-void reportAnswer(Metrics &Meter, const FeedCallName &Call, const HttpReply &R);
+/// Records the reply or the failure of a call to a peer.
+void reportReply(Metrics &Meter, const FeedCallName &Call, const HttpReply &R);
 
-/// \p Call was given up for another when its answer had come as far as \p P.
-void reportGivenUp(Metrics &Meter, const FeedCallName &Call,
-                   const TransferProgress &P);
+/// Records that \p Call was replaced by another one when its reply had arrived
+/// as far as \p P.
+void reportCancelled(Metrics &Meter, const FeedCallName &Call,
+                     const TransferProgress &P);
 
 } // namespace shallot
 
--- a/packages/front/FeedServer.cpp
+++ b/packages/front/FeedServer.cpp
@@ -7,66 +7,70 @@
 
 namespace {
 
-/// Peers that wait at once. A region of a fleet of 1,700 has 250 daemons with
-/// three kinds each.
-constexpr std::size_t MaxWaiting = 1000;
+/// Maximum number of pending requests. A region of a fleet of 1,700 has 250
+/// daemons with three kinds each.
+constexpr std::size_t MaxPending = 1000;
 
-/// The failure: two daemons that lost the store ask each other, each passes on
-/// every answer of the other, and both spend their processor on it. Only a word
-/// that is newer than the last one by this is passed on without a change; the
-/// store's own words are 1.5 s apart, and what a circle gains in age is the
-/// time on the way, some milliseconds a turn.
-constexpr Duration LeastRelayGap = Millis(200);
+/// Minimum interval between replies without changes to relaying peers. Two
+/// daemons that lost the store and read from each other would otherwise reply
+/// to each reply of the other and waste CPU time. A reply without changes is
+/// therefore sent only if the last answer of the store is newer by this
+/// interval. The answers of the store are 1.5 s apart; in a loop between
+/// daemons, each round shifts the apparent time of the last answer only by the
+/// transfer time, some milliseconds.
+constexpr Duration MinRelayInterval = Millis(200);
 
 } // namespace
 
-bool FeedServer::tryAnswer(const Waiter &W, bool Anyway) {
-  FeedView V = View(W.Question.Kind);
+bool FeedServer::tryReply(const PendingRequest &W, bool Force) {
+  FeedView V = View(W.Request.Kind);
   if (!V.Listed) {
-    // A list waits for the first reading; a watch has seen a list elsewhere.
-    if (!W.Question.Since && !Anyway)
+    // A list request waits for the first read; a watch request is refused
+    // because the requester has listed from another source.
+    if (!W.Request.Since && !Force)
       return false;
-    W.Answer.reply(problemReply(ResultCode::NotReady, "nothing read yet"));
+    W.Answer.reply(
+        problemReply(ResultCode::NotReady, "no data has been read yet"));
     return true;
   }
-  if (W.Question.Since)
-    return tryChanges(W, *V.Cache, Anyway);
-  answerPage(W, *V.Cache);
+  if (W.Request.Since)
+    return tryReplyChanges(W, *V.Cache, Force);
+  replyPage(W, *V.Cache);
   return true;
 }
 
-void FeedServer::answer(const Waiter &W, const FeedReplyKey &Key,
-                        const std::function<std::string()> &Write) {
+void FeedServer::sendReply(const PendingRequest &W, const FeedReplyKey &Key,
+                           const std::function<std::string()> &Write) {
   ServerReply R;
-  if (W.Deflates)
-    R = Answers.reply(Key, Timers.now(), Write);
+  if (W.AcceptsDeflate)
+    R = Replies.reply(Key, Timers.now(), Write);
   else
     R.Body = Write();
   R.Headers.push_back(ageHeader(Age(Key.Kind)));
   W.Answer.reply(std::move(R));
 }
 
-void FeedServer::answerPage(const Waiter &W, const KindCache &Cache) {
-  const FeedRequest &Q = W.Question;
+void FeedServer::replyPage(const PendingRequest &W, const KindCache &Cache) {
+  const FeedRequest &Q = W.Request;
   FeedReplyKey Key{Q.Kind, Q.After, std::nullopt, Cache.revision()};
-  answer(W, Key, [&] {
+  sendReply(W, Key, [&] {
     KindPage P = Cache.page(Q.After);
     P.Age = Age(Q.Kind);
     return writePage(P);
   });
 }
 
-bool FeedServer::tryChanges(const Waiter &W, const KindCache &Cache,
-                            bool Anyway) {
-  const FeedRequest &Q = W.Question;
+bool FeedServer::tryReplyChanges(const PendingRequest &W,
+                                 const KindCache &Cache, bool Force) {
+  const FeedRequest &Q = W.Request;
   if (!Cache.keepsSince(*Q.Since)) {
     W.Answer.reply(problemReply(ResultCode::PlatformHistoryGone, Q.Kind));
     return true;
   }
-  if (Cache.lastChange() <= *Q.Since && !Anyway)
+  if (Cache.lastChange() <= *Q.Since && !Force)
     return false;
   FeedReplyKey Key{Q.Kind, {}, Q.Since, Cache.revision()};
-  answer(W, Key, [&] {
+  sendReply(W, Key, [&] {
     KindChanges C = *Cache.since(*Q.Since);
     C.Age = Age(Q.Kind);
     return writeChanges(C);
@@ -81,29 +85,29 @@
     return;
   }
   bool Stale = Q->Since && Age(Q->Kind) > MaxFeedAge;
-  bool Full = Waiting.size() >= MaxWaiting;
-  Waiter W{*Q, A, Timers.now() + Q->Wait, acceptsDeflated(R)};
-  if (!tryAnswer(W, Stale || Full || Q->Wait <= Duration(0)))
-    Waiting.push_back(std::move(W));
+  bool Full = Pending.size() >= MaxPending;
+  PendingRequest W{*Q, A, Timers.now() + Q->Wait, acceptsDeflated(R)};
+  if (!tryReply(W, Stale || Full || Q->Wait <= Duration(0)))
+    Pending.push_back(std::move(W));
 }
 
 void FeedServer::advanced(const std::string &Kind) {
-  Instant Heard = Timers.now() - Age(Kind);
-  bool Newer = Heard >= Relayed[Kind] + LeastRelayGap;
+  Instant StoreAnsweredAt = Timers.now() - Age(Kind);
+  bool Newer = StoreAnsweredAt >= LastRelayed[Kind] + MinRelayInterval;
   if (Newer)
-    Relayed[Kind] = Heard;
-  std::erase_if(Waiting, [&](const Waiter &W) {
-    bool Anyway = Newer && W.Question.Relays;
-    return W.Question.Kind == Kind && tryAnswer(W, Anyway);
+    LastRelayed[Kind] = StoreAnsweredAt;
+  std::erase_if(Pending, [&](const PendingRequest &W) {
+    bool Force = Newer && W.Request.Relays;
+    return W.Request.Kind == Kind && tryReply(W, Force);
   });
 }
 
 void FeedServer::tick() {
   Instant Now = Timers.now();
-  Answers.expire(Now);
-  std::erase_if(Waiting, [&](const Waiter &W) {
-    bool Stale = W.Question.Since && Age(W.Question.Kind) > MaxFeedAge;
-    return tryAnswer(W, Stale || Now >= W.Until);
+  Replies.expire(Now);
+  std::erase_if(Pending, [&](const PendingRequest &W) {
+    bool Stale = W.Request.Since && Age(W.Request.Kind) > MaxFeedAge;
+    return tryReply(W, Stale || Now >= W.Until);
   });
 }
 
--- a/packages/front/FeedServer.h
+++ b/packages/front/FeedServer.h
@@ -1,11 +1,11 @@
 //===- FeedServer.h - Serves store data to peers ----------------*- C++ -*-===//
 //
-// Answers peers from this daemon's cache (KindCache). A list waits until
-// anything was read, a watch for a change, but only while this daemon's own
-// data is fresh: a daemon that lost the store answers at once, so that its
-// peers switch to another source. A peer that serves others is also answered
-// without a change whenever the store has answered: it must know how old its
-// data is.
+// Replies to peers from the cache of this daemon (KindCache). A list request
+// waits until the cache has been filled, a watch request waits for a change,
+// but only while the data of this daemon is fresh: a daemon that lost the store
+// replies immediately, so that its peers switch to another source. A peer that
+// serves others also gets a reply without changes whenever the store has
+// answered, because it must know how old its data is.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FEEDSERVER_H
@@ -20,7 +20,7 @@
 
 namespace shallot {
 
-/// What a FeedServer knows of one kind.
+/// State of one kind as a FeedServer sees it.
 struct FeedView {
   const KindCache *Cache = nullptr;
   bool Listed = false;
@@ -29,44 +29,47 @@
 class FeedServer {
 public:
   using ViewFn = std::function<FeedView(const std::string &Kind)>;
-  /// How long ago the store last answered for \p Kind, to this daemon or to the
-  /// source of its data. Kept for each kind: the watch of one may hang while
-  /// another's answers arrive, and peers would go on waiting for it.
+  /// Time since the store last answered for \p Kind, to this daemon or to the
+  /// source of its data. Kept per kind: the watch of one kind may hang while
+  /// replies for another arrive, and peers would keep waiting for it.
   using AgeFn = std::function<Duration(const std::string &Kind)>;
 
   FeedServer(TimerQueue &Timers, ViewFn View, AgeFn Age)
       : Timers(Timers), View(std::move(View)), Age(std::move(Age)) {}
 
   void handle(const ServerRequest &R, const Responder &A);
-  /// \p Kind has changed, or the store has answered: answers those who wait.
+  /// \p Kind has changed or the store has answered: replies to pending requests
+  /// that are affected.
   void advanced(const std::string &Kind);
-  /// To be called a few times a second: answers requests whose wait is over,
-  /// and all when the data is no longer fresh.
+  /// Call a few times per second: replies to requests whose wait has expired,
+  /// and to all watch requests of a kind whose data is no longer fresh.
   void tick();
-  std::size_t waiting() const { return Waiting.size(); }
+  std::size_t waiting() const { return Pending.size(); }
 
 private:
-  struct Waiter {
-    FeedRequest Question;
+  struct PendingRequest {
+    FeedRequest Request;
     Responder Answer;
     Instant Until;
-    bool Deflates = false; ///< Takes a deflated body.
+    bool AcceptsDeflate = false; ///< Peer accepts a deflated body.
   };
 
-  /// Answers if there is a change, or \p Anyway; whether it did.
-  bool tryAnswer(const Waiter &W, bool Anyway);
-  void answerPage(const Waiter &W, const KindCache &Cache);
-  bool tryChanges(const Waiter &W, const KindCache &Cache, bool Anyway);
-  void answer(const Waiter &W, const FeedReplyKey &Key,
-              const std::function<std::string()> &Write);
+  /// Replies if there is a change or \p Force is set. Returns whether it did.
+  bool tryReply(const PendingRequest &W, bool Force);
+  void replyPage(const PendingRequest &W, const KindCache &Cache);
+  bool tryReplyChanges(const PendingRequest &W, const KindCache &Cache,
+                       bool Force);
+  void sendReply(const PendingRequest &W, const FeedReplyKey &Key,
+                 const std::function<std::string()> &Write);
 
   TimerQueue &Timers;
   ViewFn View;
   AgeFn Age;
-  FeedReplyCache Answers;
-  std::list<Waiter> Waiting;
-  /// By kind: the last answer of the store that relaying peers know of.
-  std::map<std::string, Instant> Relayed;
+  FeedReplyCache Replies;
+  std::list<PendingRequest> Pending;
+  /// By kind: time of the latest store answer that was reported to relaying
+  /// peers.
+  std::map<std::string, Instant> LastRelayed;
 };
 
 } // namespace shallot
--- a/packages/front/FeedSources.cpp
+++ b/packages/front/FeedSources.cpp
@@ -8,26 +8,26 @@
 
 namespace {
 
-/// How long a source that failed is avoided. The store's is longer: each call
+/// Backoff after a failure of a source. It is longer for the store: each call
 /// costs money, also during an outage.
-constexpr Duration FirstPeerRest = Millis(700);
-constexpr Duration LongestPeerRest = Millis(2500);
-constexpr Duration FirstStoreRest = Millis(900);
-constexpr Duration LongestStoreRest = Millis(3500);
+constexpr Duration MinPeerBackoff = Millis(700);
+constexpr Duration MaxPeerBackoff = Millis(2500);
+constexpr Duration MinStoreBackoff = Millis(900);
+constexpr Duration MaxStoreBackoff = Millis(3500);
 
-/// Sources of the own region that are tried before other regions.
+/// Number of sources in this region that are tried before other regions.
 constexpr std::size_t OwnRegionSources = 2;
 
-/// Large hosts first: they have the links and the processor to serve others.
+/// Large hosts rank first: they have the bandwidth and CPU to serve others.
 std::pair<std::uint32_t, std::uint64_t> rankOf(const Member &M) {
   return {M.Capacity, hash64(M.Id.Host.str(), hash64(M.Reg.str()))};
 }
 
-bool mayServe(const Member &M) {
+bool canServe(const Member &M) {
   return M.State == MemberState::Alive || M.State == MemberState::Starting;
 }
 
-const HostId &nameOf(const FeedSource &S) {
+const HostId &sourceHost(const FeedSource &S) {
   static const HostId Store;
   return S.Peer ? S.Peer->Id.Host : Store;
 }
@@ -38,47 +38,49 @@
   std::map<Region, std::vector<Member>> ByRegion;
   Serving.clear();
   for (const Member &M : View.Members) {
-    if (mayServe(M))
+    if (canServe(M))
       Serving.push_back(M.Id);
-    if (mayServe(M) || M.Id.Host == Self)
+    if (canServe(M) || M.Id.Host == Self)
       ByRegion[M.Reg].push_back(M);
   }
   for (auto &[Reg, List] : ByRegion)
     std::ranges::sort(List, std::greater<>(), rankOf);
-  std::vector<Member> Others;
+  std::vector<Member> OtherWatchers;
   for (const auto &[Reg, List] : ByRegion)
     if (Reg != Here && !List.empty())
-      Others.push_back(List.front());
+      OtherWatchers.push_back(List.front());
   Peers.clear();
-  findOwnSources(ByRegion[Here]);
+  findRegionSources(ByRegion[Here]);
   // A daemon that watches the store for its region and cannot reach it reads
-  // from the watchers of other regions. Its own region has only this daemon's
-  // data: the two would wait for each other until it is stale.
-  Peers.insert(First ? Peers.begin() : Peers.end(), Others.begin(),
-               Others.end());
+  // from the watchers of other regions. The other daemons of its region only
+  // have the data of this daemon: they would wait for each other until it is
+  // stale.
+  Peers.insert(IsWatcher ? Peers.begin() : Peers.end(), OtherWatchers.begin(),
+               OtherWatchers.end());
 }
 
-/// \p Own is this daemon's region in order of rank. The daemon at place I reads
-/// from the one at (I - 1) / FeedFanOut, or else from the next best.
-void FeedSources::findOwnSources(const std::vector<Member> &Own) {
+/// \p Own lists the daemons of this region in order of rank. The daemon at
+/// index I reads from the one at (I - 1) / FeedFanOut, or else from the next
+/// best.
+void FeedSources::findRegionSources(const std::vector<Member> &Own) {
   auto Me = std::ranges::find_if(
       Own, [&](const Member &M) { return M.Id.Host == Self; });
   auto Place = static_cast<std::size_t>(Me - Own.begin());
-  First = Place == 0 || Me == Own.end();
+  IsWatcher = Place == 0 || Me == Own.end();
   Relays = Me != Own.end() && Place * FeedFanOut + 1 < Own.size();
-  if (!First)
+  if (!IsWatcher)
     Peers.push_back(Own[(Place - 1) / FeedFanOut]);
   for (const Member &M : Own) {
     if (Peers.size() >= OwnRegionSources)
       return;
-    bool Usual = !First && M.Id == Peers.front().Id;
-    if (M.Id.Host != Self && !Usual)
+    bool Default = !IsWatcher && M.Id == Peers.front().Id;
+    if (M.Id.Host != Self && !Default)
       Peers.push_back(M);
   }
 }
 
 bool FeedSources::usable(const FeedSource &S, Instant Now) const {
-  auto Found = Failures.find(nameOf(S));
+  auto Found = Failures.find(sourceHost(S));
   return Found == Failures.end() || Found->second.Until <= Now;
 }
 
@@ -86,7 +88,7 @@
   FeedSource Store;
   if (Preferred)
     return {std::exchange(Preferred, std::nullopt)};
-  if (First && usable(Store, Now))
+  if (IsWatcher && usable(Store, Now))
     return Store;
   if (!Listed)
     return firstSource(Now);
@@ -104,41 +106,44 @@
   }
   if (usable(Store, Now))
     return Store;
-  // Everyone has failed lately.
+  // All sources are in backoff.
   return Soonest;
 }
 
-/// Of a daemon that has read nothing yet. The usual source may have just
-/// started as well; it answers when it has read something itself. No other
-/// starting daemon is used: daemons that wait for each other in a circle would
+/// Source for a daemon that has read nothing yet. The default source may have
+/// just started as well; it replies once it has read something itself. No other
+/// starting daemon is used: daemons waiting for each other in a cycle would
 /// answer nobody.
 FeedSource FeedSources::firstSource(Instant Now) const {
   for (const Member &M : Peers) {
-    bool Usual = !First && M.Id == Peers.front().Id;
-    if ((Usual || M.State == MemberState::Alive) && usable({M}, Now))
+    bool Default = !IsWatcher && M.Id == Peers.front().Id;
+    if ((Default || M.State == MemberState::Alive) && usable({M}, Now))
       return {M};
   }
   return {};
 }
 
-void FeedSources::recordSuccess(const FeedSource &S) { Failures.erase(nameOf(S)); }
+void FeedSources::recordSuccess(const FeedSource &S) {
+  Failures.erase(sourceHost(S));
+}
 
 void FeedSources::recordFailure(const FeedSource &S, Random &Rng, Instant Now) {
-  Bad &B = Failures[nameOf(S)];
-  // One call may be lost on the way, or with a connection that fell silent. The
-  // daemon that the others read from tries the store again first.
-  if (S.direct() && ++B.Times == 1)
+  FailureRecord &B = Failures[sourceHost(S)];
+  // A single call may be lost in transit or with a connection that went silent,
+  // so the daemon that others read from retries the store first.
+  if (S.direct() && ++B.Count == 1)
     return;
-  Duration Least = S.direct() ? FirstStoreRest : FirstPeerRest;
-  Duration Most = S.direct() ? LongestStoreRest : LongestPeerRest;
-  B.For = std::clamp(B.For * 2, Least, Most);
-  // Spread, so that a fleet that lost its sources at one moment does not call
-  // the store at one moment.
-  B.Until = Now + fromMillisF(toMillisF(B.For) * (0.75 + 0.5 * uniform01(Rng)));
+  Duration Min = S.direct() ? MinStoreBackoff : MinPeerBackoff;
+  Duration Max = S.direct() ? MaxStoreBackoff : MaxPeerBackoff;
+  B.Backoff = std::clamp(B.Backoff * 2, Min, Max);
+  // Jitter, so that a fleet that lost its sources at the same moment does not
+  // call the store at the same moment.
+  B.Until =
+      Now + fromMillisF(toMillisF(B.Backoff) * (0.75 + 0.5 * uniform01(Rng)));
 }
 
-/// Any member that serves may be the one that was preferred: it counts as lost
-/// by its state, not by its place among the usual sources.
+/// A preferred source can be any serving member, so availability is decided by
+/// state, not by presence among the default sources.
 bool FeedSources::lost(const FeedSource &S) const {
   return !S.direct() && std::ranges::find(Serving, S.Peer->Id) == Serving.end();
 }
--- a/packages/front/FeedWire.cpp
+++ b/packages/front/FeedWire.cpp
@@ -12,17 +12,18 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view PathStart = "/feed/";
-constexpr std::uint64_t LongestWaitMs = 30000;
+constexpr std::string_view PathPrefix = "/feed/";
+constexpr std::uint64_t MaxWaitMs = 30000;
 constexpr std::string_view AgeHeader = "Feed-Age-Ms";
-/// Some thirty years; a daemon that never heard from the store tells its
+/// About thirty years; a daemon that never heard from the store reports its
 /// uptime.
-constexpr std::uint64_t LongestAgeMs = 1000000000000;
-/// A whole page of registrations is about 100 KB; a configuration with
-/// thousands of routes is a few MB.
+constexpr std::uint64_t MaxAgeMs = 1000000000000;
+/// A full page of registrations is about 100 KB; a configuration with thousands
+/// of routes is a few MB.
 constexpr JsonLimits ReplyLimits{16 << 20, 16};
 
-std::optional<std::uint64_t> numberIn(const std::optional<std::string> &Text) {
+std::optional<std::uint64_t>
+parseNumber(const std::optional<std::string> &Text) {
   std::uint64_t Value = 0;
   if (!Text)
     return std::nullopt;
@@ -49,11 +50,11 @@
 }
 
 Result<Duration> readAge(JsonFields &F) {
-  BOOST_LEAF_AUTO(Ms, F.number("age_ms", 0, double(LongestAgeMs)));
+  BOOST_LEAF_AUTO(Ms, F.number("age_ms", 0, double(MaxAgeMs)));
   return fromMillisF(Ms);
 }
 
-Result<KindPage> pageIn(const std::string &Body) {
+Result<KindPage> parsePage(const std::string &Body) {
   BOOST_LEAF_AUTO(Doc, parseJson(Body, "a page", ReplyLimits));
   BOOST_LEAF_AUTO(F, JsonFields::open(Doc, "page"));
   KindPage P;
@@ -68,7 +69,7 @@
   return P;
 }
 
-Result<KindChanges> changesIn(const std::string &Body) {
+Result<KindChanges> parseChanges(const std::string &Body) {
   BOOST_LEAF_AUTO(Doc, parseJson(Body, "changes", ReplyLimits));
   BOOST_LEAF_AUTO(F, JsonFields::open(Doc, "changes"));
   KindChanges C;
@@ -86,10 +87,10 @@
   return C;
 }
 
-/// The age that stands beside the body; nothing if it is no number.
-std::optional<Duration> ageBeside(const HttpReply &R) {
-  auto Ms = numberIn(std::string(headerValue(R.Headers, AgeHeader)));
-  if (!Ms || *Ms > LongestAgeMs)
+/// Age from the header; nothing if it is not a valid number.
+std::optional<Duration> headerAge(const HttpReply &R) {
+  auto Ms = parseNumber(std::string(headerValue(R.Headers, AgeHeader)));
+  if (!Ms || *Ms > MaxAgeMs)
     return std::nullopt;
   return Millis(*Ms);
 }
@@ -98,11 +99,13 @@
 Attempt<T> readBody(const HttpReply &R,
                     Result<T> (*Read)(const std::string &)) {
   if (R.TooLarge)
-    return Error{ResultCode::PlatformHistoryGone, "more than a reply holds"};
+    return Error{ResultCode::PlatformHistoryGone,
+                 "reply exceeds the size limit"};
   if (!R.arrived())
     return Error{ResultCode::PeerUnreachable, codeLabel(R.Failure)};
   if (R.Status == infoOf(ResultCode::PlatformHistoryGone).HttpStatus)
-    return Error{ResultCode::PlatformHistoryGone, "the peer keeps less"};
+    return Error{ResultCode::PlatformHistoryGone,
+                 "peer no longer has this history"};
   if (R.Status != 200)
     return Error{ResultCode::PeerUnreachable,
                  fmt::format("status {}", R.Status)};
@@ -110,7 +113,7 @@
   if (!Found)
     return Error{ResultCode::PeerBadMessage, Found.error().Detail};
   T Value = std::move(*Found);
-  Value.Age = ageBeside(R).value_or(Value.Age);
+  Value.Age = headerAge(R).value_or(Value.Age);
   return Value;
 }
 
@@ -119,26 +122,27 @@
 std::string feedTarget(const FeedRequest &Q) {
   std::string What = Q.Since ? fmt::format("since={}", *Q.Since)
                              : "after=" + percentEncoded(Q.After);
-  return fmt::format("{}{}?{}&wait_ms={}{}", PathStart, Q.Kind, What,
+  return fmt::format("{}{}?{}&wait_ms={}{}", PathPrefix, Q.Kind, What,
                      toMillis(Q.Wait), Q.Relays ? "&relays=1" : "");
 }
 
 std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
                                             std::string_view Query) {
-  if (!Path.starts_with(PathStart))
+  if (!Path.starts_with(PathPrefix))
     return std::nullopt;
   FeedRequest Q;
-  Q.Kind = std::string(Path.substr(PathStart.size()));
+  Q.Kind = std::string(Path.substr(PathPrefix.size()));
   Q.After = queryParameter(Query, "after").value_or("");
-  Q.Since = numberIn(queryParameter(Query, "since"));
-  auto WaitMs = numberIn(queryParameter(Query, "wait_ms")).value_or(0);
-  Q.Wait = Millis(std::min(WaitMs, LongestWaitMs));
+  Q.Since = parseNumber(queryParameter(Query, "since"));
+  auto WaitMs = parseNumber(queryParameter(Query, "wait_ms")).value_or(0);
+  Q.Wait = Millis(std::min(WaitMs, MaxWaitMs));
   Q.Relays = queryParameter(Query, "relays") == "1";
   return Q;
 }
 
 HttpHeader ageHeader(Duration Age) {
-  // Rounded up: a word that goes round between daemons must not stay young.
+  // Rounded up: data relayed in a loop between daemons must not appear to stay
+  // fresh.
   return {std::string(AgeHeader), std::to_string(toMillis(Age) + 1)};
 }
 
@@ -162,10 +166,12 @@
   return Doc.dump();
 }
 
-Attempt<KindPage> readPage(const HttpReply &R) { return readBody(R, &pageIn); }
+Attempt<KindPage> readPage(const HttpReply &R) {
+  return readBody(R, &parsePage);
+}
 
 Attempt<KindChanges> readChanges(const HttpReply &R) {
-  return readBody(R, &changesIn);
+  return readBody(R, &parseChanges);
 }
 
 } // namespace shallot
--- a/packages/front/FeedWire.h
+++ b/packages/front/FeedWire.h
@@ -1,16 +1,16 @@
-//===- FeedWire.h - Requests between daemons for store data -----*- C++ -*-===//
+//===- FeedWire.h - Wire format of the feed between daemons -----*- C++ -*-===//
 //
-// GET /feed/KIND?after=NAME&wait_ms=N  a page of the objects, as soon as
-//                                      anything was read
-// GET /feed/KIND?since=REV&wait_ms=N   changes after REV, as soon as there are
-//   &relays=1                          also without a change, whenever the
+// GET /feed/KIND?after=NAME&wait_ms=N  a page of objects, once the peer has
+//                                      read any
+// GET /feed/KIND?since=REV&wait_ms=N   changes after REV, once there are any
+//   &relays=1                          also without changes, whenever the
 //                                      store has answered the peer
 //
-// JSON, because the objects are JSON in the store and are passed on as they
-// are. 503: nothing was read yet; 410: that history is not kept, list anew. The
-// age of the data is in the header Feed-Age-Ms, beside a body that may have
-// been made for another peer, and in the body for peers that do not know the
-// header.
+// The format is JSON because objects are JSON in the store and are relayed
+// unchanged. Status 503: nothing has been read yet; 410: that history is no
+// longer available, so the client must list again. The age of the data is in
+// the header Feed-Age-Ms, since a body may have been created for another peer,
+// and also in the body for peers that do not know the header.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FEEDWIRE_H
@@ -23,10 +23,11 @@
 
 struct FeedRequest {
   std::string Kind;
-  std::string After;                  ///< Of a list.
-  std::optional<std::uint64_t> Since; ///< Of a watch.
+  std::string After;                  ///< For a list.
+  std::optional<std::uint64_t> Since; ///< For a watch.
   Duration Wait{};
-  /// Other daemons read from the sender, so it must know how old its data is.
+  /// Other daemons read from the requester, so it must know how old its data
+  /// is.
   bool Relays = false;
 
   friend bool operator==(const FeedRequest &, const FeedRequest &) = default;
@@ -34,15 +35,16 @@
 
 /// Path and query of \p Q.
 std::string feedTarget(const FeedRequest &Q);
-/// Nothing when the request is not of this form.
+/// Returns nothing if the request does not have this form.
 std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
                                             std::string_view Query);
 
-/// Reports that the store last answered \p Age ago.
+/// Header that reports the time since the store last answered.
 HttpHeader ageHeader(Duration Age);
 std::string writePage(const KindPage &P);
 std::string writeChanges(const KindChanges &C);
-/// Fail with PlatformBadReply, or with the code of the reply's status.
+/// Fail with PeerBadMessage for a malformed body, PlatformHistoryGone, or
+/// PeerUnreachable for other failures.
 Attempt<KindPage> readPage(const HttpReply &R);
 Attempt<KindChanges> readChanges(const HttpReply &R);
 
--- a/packages/front/FleetLink.cpp
+++ b/packages/front/FleetLink.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-ReadState readStateOf(const PeerConfig &P) {
+ReadRevisions readRevisionsOf(const PeerConfig &P) {
   return {P.Generation, P.Head, P.Revisions.Quarantine,
           P.Revisions.Evacuations};
 }
 
-constexpr std::array ReadStateFields = {
-    &ReadState::ConfigVersion, &ReadState::ReplicaRevision,
-    &ReadState::QuarantineRevision, &ReadState::EvacuationRevision};
+constexpr std::array RevisionFields = {
+    &ReadRevisions::ConfigVersion, &ReadRevisions::ReplicaRevision,
+    &ReadRevisions::QuarantineRevision, &ReadRevisions::EvacuationRevision};
 
-/// Seeds are addresses for HTTP; all daemons of a deployment use one port for
+/// Seeds are HTTP addresses; all daemons of a deployment use the same port for
 /// gossip.
 std::vector<Endpoint> gossipSeeds(const FrontSettings &Set) {
   std::vector<Endpoint> Seeds;
@@ -47,9 +47,11 @@
   return static_cast<std::uint32_t>(Set.Cores * 1000);
 }
 
-Result<Membership> FleetLink::join(EventLoop &Loop, const FrontSettings &Set,
-                                   Random &Rng, std::uint64_t Incarnation,
-                                   MemberState State) {
+Result<Membership> FleetLink::makeMembership(EventLoop &Loop,
+                                             const FrontSettings &Set,
+                                             Random &Rng,
+                                             std::uint64_t Incarnation,
+                                             MemberState State) {
   Member Self{{Set.Host, Incarnation},
               Set.Here.Zone,
               Set.Here.Reg,
@@ -71,7 +73,8 @@
                                                    const FrontSettings &Set,
                                                    Random &Rng, ChangedFn Fn) {
   auto Incarnation = static_cast<std::uint64_t>(Loop.wallTime());
-  BOOST_LEAF_AUTO(M, join(Loop, Set, Rng, Incarnation, MemberState::Starting));
+  BOOST_LEAF_AUTO(
+      M, makeMembership(Loop, Set, Rng, Incarnation, MemberState::Starting));
   std::unique_ptr<FleetLink> L(
       new FleetLink(Loop, Set, Rng, std::move(M), std::move(Fn)));
   BOOST_LEAF_ASSIGN(
@@ -88,14 +91,14 @@
 
 void FleetLink::tick() {
   Instant Now = Loop.now();
-  // What waited in the socket over a pause is as old as the pause is long; read
-  // as fresh it would show dead daemons as alive.
+  // After a pause, datagrams in the socket buffer are as old as the pause;
+  // processed as fresh, they would show dead daemons as alive.
   if (Now - LastTick > MembershipOptions().PauseThreshold)
     Socket->discardWaiting();
   LastTick = Now;
   apply(Members.onTick(Now));
-  if (Superseder != 0)
-    outrun(std::exchange(Superseder, 0));
+  if (SupersedingIncarnation != 0)
+    rejoinAbove(std::exchange(SupersedingIncarnation, 0));
   Loop.after(TickPeriod, [this] { tick(); });
 }
 
@@ -116,7 +119,7 @@
               {"by", E.By.str()},
               {"evidence", E.Evidence}});
     if (E.Kind == MembershipEventKind::Superseded)
-      Superseder = E.Who.Incarnation;
+      SupersedingIncarnation = E.Who.Incarnation;
   }
   for (const GossipSend &S : Out.Sends)
     Socket->send(S.To, S.Message);
@@ -124,15 +127,16 @@
     OnChanged();
 }
 
-/// The failure: the time of day was set back between two runs of this host, so
-/// the new run's number is below the old one's and the others take the new one
-/// for a ghost; it would get no callers. Nothing else runs under this name on
-/// this host, so the higher number can only be an earlier run's.
-void FleetLink::outrun(std::uint64_t Incarnation) {
+/// Handles a wall clock that was set back between two runs of this host. The
+/// incarnation of the new run is then lower than that of the old one, the other
+/// daemons treat the new run as outdated, and it would receive no callers.
+/// Nothing else runs under this name on this host, so the higher incarnation
+/// can only belong to an earlier run.
+void FleetLink::rejoinAbove(std::uint64_t Incarnation) {
   MemberState State = Members.self().State;
   std::uint32_t Load = Members.self().Load;
-  auto M =
-      attempt([&] { return join(Loop, Set, Rng, Incarnation + 1, State); });
+  auto M = attempt(
+      [&] { return makeMembership(Loop, Set, Rng, Incarnation + 1, State); });
   if (!M) {
     logEvent(LogLevel::Error, "rejoin_failed", {{"why", M.error().Detail}});
     return;
@@ -140,7 +144,7 @@
   logEvent(LogLevel::Warn, "rejoined",
            {{"incarnation", std::to_string(Incarnation + 1)}});
   Members = std::move(*M);
-  sayRead();
+  publishRevisions();
   apply(Members.setSelfLoad(Load, Loop.now()));
   OnChanged();
 }
@@ -157,36 +161,37 @@
   return shallot::equalRetryPart(view(), Set.Host);
 }
 
-void FleetLink::announce(const ReadState &S) {
+void FleetLink::announce(const ReadRevisions &S) {
   if (S == Announced)
     return;
   Announced = S;
-  sayRead();
+  publishRevisions();
 }
 
-void FleetLink::sayRead() {
+void FleetLink::publishRevisions() {
   Members.setConfig(Announced.ConfigVersion, Announced.ReplicaRevision);
   Members.setRevisions(
       {Announced.QuarantineRevision, Announced.EvacuationRevision});
 }
 
-ReadState FleetLink::furthest() const {
-  ReadState Most;
+ReadRevisions FleetLink::newestPeerRevisions() const {
+  ReadRevisions Most;
   for (const PeerConfig &P : Members.peerConfigs()) {
-    ReadState Its = readStateOf(P);
-    for (std::uint64_t ReadState::*Field : ReadStateFields)
+    ReadRevisions Its = readRevisionsOf(P);
+    for (std::uint64_t ReadRevisions::*Field : RevisionFields)
       Most.*Field = std::max(Most.*Field, Its.*Field);
   }
   return Most;
 }
 
-std::optional<PeerAhead> FleetLink::ahead(const ReadState &S) const {
+std::optional<PeerAhead>
+FleetLink::findPeerAhead(const ReadRevisions &S) const {
   std::vector<PeerAhead> Near;
   std::vector<PeerAhead> Far;
   for (const PeerConfig &P : Members.peerConfigs()) {
-    ReadState Its = readStateOf(P);
+    ReadRevisions Its = readRevisionsOf(P);
     bool Further = std::ranges::any_of(
-        ReadStateFields, [&](auto Field) { return Its.*Field > S.*Field; });
+        RevisionFields, [&](auto Field) { return Its.*Field > S.*Field; });
     if (!Further)
       continue;
     for (const Member &M : view().Members)
--- a/packages/front/FleetLink.h
+++ b/packages/front/FleetLink.h
@@ -1,7 +1,8 @@
-//===- FleetLink.h - The other front daemons --------------------*- C++ -*-===//
+//===- FleetLink.h - Membership of front daemons ----------------*- C++ -*-===//
 //
-// Drives the membership of package fleet over UDP: who serves callers, who is
-// leaving, who has failed. Nothing of it is stored and no daemon is special.
+// Runs the membership protocol of package fleet over UDP: which daemons serve
+// callers, are leaving or have failed. No state is stored, and no daemon has a
+// special role.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FLEETLINK_H
@@ -17,28 +18,29 @@
 
 namespace shallot {
 
-/// How far a daemon has read what the store holds.
-struct ReadState {
+/// Store revisions that a daemon has read.
+struct ReadRevisions {
   std::uint64_t ConfigVersion = 0;
   std::uint64_t ReplicaRevision = 0;
   std::uint64_t QuarantineRevision = 0;
   std::uint64_t EvacuationRevision = 0;
 
-  friend bool operator==(const ReadState &, const ReadState &) = default;
+  friend bool operator==(const ReadRevisions &,
+                         const ReadRevisions &) = default;
 };
 
-/// How the membership of front daemons is timed. A fleet whose callers learn of
-/// a dead daemon only from us: it is left out of answers after about two
-/// seconds, and the probes for it cost some hundred bytes a second.
+/// Membership timing for front daemons. Callers learn of a dead daemon only
+/// from the directory: it is left out of replies after about two seconds, and
+/// the probes for this cost some hundred bytes per second.
 MembershipOptions frontMembershipOptions();
 
-/// What the host gives the process, in thousandths of a core.
+/// Share of the host for this process, in thousandths of a core.
 std::uint32_t capacityOf(const FrontSettings &Set);
 
 /// A peer that is ahead, and the revisions that it has read.
 struct PeerAhead {
   Member Peer;
-  ReadState Read;
+  ReadRevisions Read;
 };
 
 class FleetLink {
@@ -61,33 +63,33 @@
   const FleetView &view() const { return Members.view(); }
   /// This daemon as it announces itself.
   const Member &self() const { return Members.self(); }
-  /// Who shares the replicas' connections and the retry allowance.
+  /// Daemons that share the connections to replicas and the retry allowance.
   Sharing sharing() const;
   WarmupSenders warmupSenders() const;
-  /// This daemon's part of the retry allowance if all daemons had the same.
+  /// Fraction of the retry allowance if all daemons had an equal part.
   double equalRetryPart() const;
-  /// Tells the others, in every message, how far this daemon has read.
-  void announce(const ReadState &S);
-  /// What the membership sent and received.
+  /// Sets the revisions that every membership message carries.
+  void announce(const ReadRevisions &S);
+  /// Traffic counters of the membership protocol.
   const GossipSocketStats &traffic() const { return Socket->stats(); }
-  /// The newest revisions that live peers have read, of each kind.
-  ReadState furthest() const;
-  /// A live peer that has read further than \p S, if there is one: one of this
-  /// region if there is one, and any of them, so that a fleet that is behind
-  /// does not ask the same daemon.
-  std::optional<PeerAhead> ahead(const ReadState &S) const;
+  /// Newest revision of each kind that any live peer has read.
+  ReadRevisions newestPeerRevisions() const;
+  /// A live peer that has read more than \p S, if any: from this region if
+  /// possible, and chosen at random, so that the daemons of a fleet that is
+  /// behind do not all call the same one.
+  std::optional<PeerAhead> findPeerAhead(const ReadRevisions &S) const;
 
 private:
   FleetLink(EventLoop &Loop, const FrontSettings &Set, Random &Rng,
             Membership M, ChangedFn Fn);
 
-  static Result<Membership> join(EventLoop &Loop, const FrontSettings &Set,
-                                 Random &Rng, std::uint64_t Incarnation,
-                                 MemberState State);
+  static Result<Membership>
+  makeMembership(EventLoop &Loop, const FrontSettings &Set, Random &Rng,
+                 std::uint64_t Incarnation, MemberState State);
   void tick();
   void apply(const MembershipOutput &Out);
-  void sayRead();
-  void outrun(std::uint64_t Incarnation);
+  void publishRevisions();
+  void rejoinAbove(std::uint64_t Incarnation);
 
   EventLoop &Loop;
   FrontSettings Set;
@@ -96,8 +98,8 @@
   ChangedFn OnChanged;
   std::unique_ptr<GossipSocket> Socket;
   Instant LastTick;
-  ReadState Announced;
-  std::uint64_t Superseder = 0;
+  ReadRevisions Announced;
+  std::uint64_t SupersedingIncarnation = 0;
 };
 
 } // namespace shallot
--- a/packages/front/FollowedKind.h
+++ b/packages/front/FollowedKind.h
@@ -1,8 +1,8 @@
 //===- FollowedKind.h - Watch of one object kind ----------------*- C++ -*-===//
 //
-// A watch of one kind, through the store or a peer, and the state that is
-// needed to switch from a stale source: how long peers have been ahead, and
-// which of their revisions was requested already.
+// Watches the objects of one kind, through the store or a peer, and keeps the
+// state that decides when to switch from a stale source: how long peers have
+// been ahead, and which of their revisions has already been requested.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FOLLOWEDKIND_H
@@ -35,58 +35,62 @@
   }
   FeedSources &sources() { return Source.sources(); }
 
-  /// The fleet has changed. A host with a full link answers no probes and is
-  /// suspected, also by daemons that are receiving an answer from it.
+  /// Called when the membership view has changed. A host whose link is
+  /// saturated does not answer probes and becomes suspected, even by daemons
+  /// that are receiving a reply from it; such a reply is not abandoned.
   void fleetChanged() {
     sources().update(D.view());
     if (Source.lost() && !Source.receivedWithin(CatchUpTimeout))
       Objects.renew();
   }
 
-  /// A watch of another kind was lost: this one's call may hang for the same
-  /// reason.
-  void doubt() {
+  /// Called when the watch of another kind was lost: the pending call of this
+  /// watch may hang for the same reason. Renews it if no data is arriving.
+  void renewIfSilent() {
     if (Objects.listed() && Objects.storeAnswers() &&
         !Source.receivedWithin(CatchUpTimeout))
       Objects.renew();
   }
 
-  /// The failure: this daemon's source no longer receives updates and has not
-  /// noticed. Membership messages carry the revision that their sender has read
+  /// Guards against a source that no longer receives updates without noticing.
+  /// Membership messages carry the revision that their sender has read
   /// (\p Field); a daemon that is behind and receives nothing (CatchUp)
-  /// switches to a peer that is ahead. To be called every \p Period, with the
-  /// revisions that this daemon and the furthest of its peers have read.
+  /// switches to a peer that is ahead. Call this once every \p Period, with the
+  /// revisions that this daemon has read and the newest ones that any of its
+  /// peers has read.
   ///
-  /// Two daemons may differ for good when one saw a removal that the other only
-  /// finds missing in a list: with \p Once a peer's revision is requested once,
-  /// and else until this daemon has it.
-  void compare(const ReadState &Mine, const ReadState &Most,
-               std::uint64_t ReadState::*Field, bool Once, Duration Period) {
+  /// Two daemons can differ permanently when one saw a removal that the other
+  /// only infers from a list. With \p Once, each revision of a peer is
+  /// therefore requested only once; without it, until this daemon has it.
+  void switchIfBehind(const ReadRevisions &Mine, const ReadRevisions &Most,
+                      std::uint64_t ReadRevisions::*Field, bool Once,
+                      Duration Period) {
     std::uint64_t Read = Mine.*Field;
-    std::uint64_t Known = Once ? std::max(Read, Followed) : Read;
-    bool Progressing =
-        Read != std::exchange(Before, Read) || Source.receivedWithin(Period);
+    std::uint64_t Known = Once ? std::max(Read, NewestRequested) : Read;
+    bool Progressing = Read != std::exchange(PreviousRead, Read) ||
+                       Source.receivedWithin(Period);
     if (Behind.shouldSwitch(Most.*Field > Known, Progressing, Loop.now()))
-      askAhead(Field, Known);
+      switchToPeerAhead(Field, Known);
   }
 
 private:
-  /// No peer is ahead of this.
-  static constexpr std::uint64_t Any = UINT64_MAX;
+  /// Greater than or equal to every revision, so no peer is ahead of it.
+  static constexpr std::uint64_t NeverAhead = UINT64_MAX;
 
-  void askAhead(std::uint64_t ReadState::*Field, std::uint64_t Known) {
-    ReadState Wanted{Any, Any, Any};
+  void switchToPeerAhead(std::uint64_t ReadRevisions::*Field,
+                         std::uint64_t Known) {
+    ReadRevisions Wanted{NeverAhead, NeverAhead, NeverAhead};
     Wanted.*Field = Known;
-    std::optional<PeerAhead> Ahead = D.fleet().ahead(Wanted);
+    std::optional<PeerAhead> Ahead = D.fleet().findPeerAhead(Wanted);
     if (!Ahead)
       return;
-    std::uint64_t Its = Ahead->Read.*Field;
-    Followed = std::max(Known, Its);
+    std::uint64_t Theirs = Ahead->Read.*Field;
+    NewestRequested = std::max(Known, Theirs);
     logEvent(LogLevel::Info, "peer_has_read_more",
              {{"peer", Ahead->Peer.Id.str()},
               {"watch", Label},
               {"mine", std::to_string(Known)},
-              {"its", std::to_string(Its)}});
+              {"its", std::to_string(Theirs)}});
     sources().prefer(Ahead->Peer);
     Objects.renew();
   }
@@ -97,9 +101,9 @@
   RelayedStore<Store> Source;
   KindWatch<RelayedStore<Store>, EventLoop> Objects;
   CatchUp Behind;
-  std::uint64_t Before = 0; ///< Read at the last comparison.
-  std::uint64_t Followed =
-      0; ///< The newest revision of a peer that was requested.
+  std::uint64_t PreviousRead = 0; ///< Revision at the last comparison.
+  /// Newest revision that was requested from a peer.
+  std::uint64_t NewestRequested = 0;
 };
 
 } // namespace shallot
--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -12,35 +12,37 @@
 
 namespace {
 
-/// Resting replicas are tried and time is watched this often.
+/// Period for probes of unavailable replicas and for checks of the clock.
 constexpr Duration HousekeepingPeriod = Millis(100);
-/// A stop closes the listening socket this long before the kill, so that the
-/// last requests are answered.
-constexpr Duration LastCalls = Millis(900);
-/// The process ends this long before the kill at the latest.
-constexpr Duration EndMargin = Millis(150);
-/// Between the last connection that is accepted and the end: what was read by
-/// then is answered. Connections that stay idle are not waited for any longer.
-constexpr Duration LastAnswers = Millis(100);
-constexpr Duration LastAnswersPeriod = Millis(5);
-/// Callers that still have this daemon's address are waited for at least this
-/// long after the signal: it covers the validity that most of them keep to.
-constexpr Duration LeastLeaving = Seconds(3);
-/// How long callers may keep an answer of the directory. Short, because a
-/// caller that keeps the address of a dead daemon fails; each answer costs
-/// some 100 us of processor time.
+/// The listening socket is closed this long before the kill, so that the last
+/// requests can be answered.
+constexpr Duration CloseBeforeKill = Millis(900);
+/// The process exits at least this long before the kill.
+constexpr Duration ExitMargin = Millis(150);
+/// Time between the last accepted connection and the exit: requests read by
+/// then are answered. Idle connections are not waited for any longer.
+constexpr Duration FinalDrain = Millis(100);
+constexpr Duration FinalDrainPeriod = Millis(5);
+/// Minimum time from the stop signal to the exit, for callers that still have
+/// the address of this daemon cached. It covers the validity that most of them
+/// respect.
+constexpr Duration MinStopTime = Seconds(3);
+/// How long callers may cache a directory reply. Short, because a caller that
+/// keeps the address of a dead daemon fails; each reply costs some 100 us of
+/// CPU time.
 constexpr Duration EntryValidity = Seconds(2);
-/// The process did not run for longer than this while time went on: its
-/// connections may be forgotten by everyone between.
+/// A suspension of the process longer than this closes idle connections: the
+/// peers and everything in between may have dropped them.
 constexpr Duration SuspendGap = Millis(1000);
-/// How often the load is measured: a few queries of a host with little to do.
+/// Period of load measurements: several queries, even on a host with little
+/// load.
 constexpr Duration LoadPeriod = Seconds(1);
-/// A daemon that got fewer requests carries no callers: some send a few to
-/// every daemon, to see which configuration it has.
-constexpr std::uint64_t LeastHandled = 20;
+/// A daemon with fewer requests than this carries no callers: some callers send
+/// a few requests to every daemon to check its configuration.
+constexpr std::uint64_t MinHandled = 20;
 
-/// From its start until a daemon knows its fleet: 295 hosts that start together
-/// know each other after this.
+/// Time after start until a daemon knows its fleet: 295 hosts that start
+/// together know each other after this time.
 constexpr Duration FleetKnownAfter = Seconds(3);
 
 Duration clockGap(clockid_t Clock) {
@@ -49,7 +51,8 @@
   return Seconds(T.tv_sec) + Duration(T.tv_nsec);
 }
 
-/// Time that the steady clock did not count, because the machine was suspended.
+/// Time that the monotonic clock did not count because the machine was
+/// suspended.
 Duration suspendedTime() {
   return clockGap(CLOCK_BOOTTIME) - clockGap(CLOCK_MONOTONIC);
 }
@@ -69,15 +72,17 @@
   Impl(EventLoop &Loop, const FrontSettings &Set, FrontAdapter Adapter,
        std::uint64_t Seed)
       : Loop(Loop), Set(Set), Adapter(std::move(Adapter)), Rng(Seed),
-        Timers(Loop), Replicas(Set.Here, bookOptions(Set)),
+        Timers(Loop), Replicas(Set.Here, registryOptions(Set)),
         Requests(Loop, Timers, this->Adapter.Headers, Replicas, {Set.Retries},
                  Rng, Meter),
         Suspended(suspendedTime()), Started(Loop.now()),
-        RetryPart(retrySpan(Set), 1), Load(capacityOf(Set)), LoadAt(Started) {}
+        RetryPart(retryLookback(Set), 1), Load(capacityOf(Set)),
+        LoadAt(Started) {}
 
-  static ReplicaRegistryOptions bookOptions(const FrontSettings &Set);
-  /// Over this time a share of the retry allowance is looked back.
-  static Duration retrySpan(const FrontSettings &Set) {
+  static ReplicaRegistryOptions registryOptions(const FrontSettings &Set);
+  /// Period over which the smallest granted fraction of the retry allowance is
+  /// used.
+  static Duration retryLookback(const FrontSettings &Set) {
     return Set.Retries.Window + ViewSpread;
   }
   Result<void> open();
@@ -87,15 +92,15 @@
   void scrape(const Responder &A);
   void housekeeping();
   void measureLoad();
-  void share(Instant Now);
-  void shareWarmup(Instant Now);
+  void updateSharing(Instant Now);
+  void updateWarmupSenders(Instant Now);
   void fleetChanged();
-  void becomeReady();
+  void announceIfReady();
   bool ready() const;
-  void leave();
-  void lastCalls();
-  void closeDoors();
-  void lastAnswers(Instant Until);
+  void beginStop();
+  void pollStop();
+  void stopListening();
+  void awaitLastReplies(Instant Until);
   void end();
 
   EventLoop &Loop;
@@ -110,17 +115,17 @@
   std::unique_ptr<CallerServer> Callers;
   std::unique_ptr<HttpServer> Directory;
   std::unique_ptr<HttpServer> Readiness;
-  std::unique_ptr<HttpServer> Scrapes;
+  std::unique_ptr<HttpServer> MetricsServer;
   std::unique_ptr<HttpServer> Peers;
-  HttpServer::Handler OnPeer;
-  std::function<void()> OnFleet;
+  HttpServer::Handler PeerHandler;
+  std::function<void()> FleetChangedFn;
   bool Listed = false;
   bool Leaving = false;
   Instant LeavingSince;
   std::function<void()> Gone;
   Duration Suspended;
   Instant Started;
-  Sharing Shared; ///< By the fleet as it is now.
+  Sharing Shared; ///< For the current fleet.
   GrantedShare RetryPart;
   LoadLevel Load;
   Instant LoadAt;
@@ -128,9 +133,10 @@
 };
 
 ReplicaRegistryOptions
-FrontDaemon::Impl::bookOptions(const FrontSettings &Set) {
+FrontDaemon::Impl::registryOptions(const FrontSettings &Set) {
   ReplicaRegistryOptions O;
-  // A vanished replica may have been leaving since a little before we saw it.
+  // A replica that disappeared may have begun to drain shortly before that was
+  // observed.
   O.LapseHold = std::min(O.LapseHold, Set.DrainDuration / 2);
   O.AwaitEvacuations = Set.Evacuation.has_value();
   O.Warmup = Set.Warmup;
@@ -152,12 +158,13 @@
         directory(R, A);
       }));
   BOOST_LEAF_ASSIGN(
-      Scrapes, Serve(Set.Metrics, [this](const ServerRequest &,
-                                         const Responder &A) { scrape(A); }));
+      MetricsServer,
+      Serve(Set.Metrics,
+            [this](const ServerRequest &, const Responder &A) { scrape(A); }));
   BOOST_LEAF_ASSIGN(Peers, Serve(Set.Peers, [this](const ServerRequest &R,
                                                    const Responder &A) {
-                      if (OnPeer)
-                        OnPeer(R, A);
+                      if (PeerHandler)
+                        PeerHandler(R, A);
                       else
                         A.reply(problemReply(ResultCode::NotReady, "starting"));
                     }));
@@ -177,20 +184,20 @@
   return {};
 }
 
-/// Of the retry allowance this daemon uses the least part that it was granted
-/// over a window: others may have used up what it has gained. It has forgotten
-/// what it used itself before it started, and counts then on no more than
-/// everybody could have.
-void FrontDaemon::Impl::share(Instant Now) {
+/// Uses the smallest fraction of the retry allowance that was granted over the
+/// last window: other daemons may already have used what this one has gained.
+/// After a restart the daemon does not know what it used before, so for one
+/// window it uses at most an equal part.
+void FrontDaemon::Impl::updateSharing(Instant Now) {
   Sharing Usable = Shared;
   Usable.RetryPart = RetryPart.usable(Now);
-  if (Now - Started < retrySpan(Set))
+  if (Now - Started < retryLookback(Set))
     Usable.RetryPart = std::min(Usable.RetryPart, Fleet->equalRetryPart());
   Replicas.setSharing(Usable);
 }
 
-/// A daemon that has just started may not know yet who else sends.
-void FrontDaemon::Impl::shareWarmup(Instant Now) {
+/// A daemon that has just started may not know yet which others send.
+void FrontDaemon::Impl::updateWarmupSenders(Instant Now) {
   if (Now - Started >= FleetKnownAfter)
     Replicas.setWarmupSenders(Fleet->warmupSenders());
 }
@@ -200,17 +207,17 @@
     return;
   Shared = Fleet->sharing();
   RetryPart.grant(Shared.RetryPart, Loop.now());
-  share(Loop.now());
-  shareWarmup(Loop.now());
-  if (OnFleet)
-    OnFleet();
+  updateSharing(Loop.now());
+  updateWarmupSenders(Loop.now());
+  if (FleetChangedFn)
+    FleetChangedFn();
 }
 
 bool FrontDaemon::Impl::ready() const {
   return Requests.config() && Listed && Replicas.zonesKnown() && !Leaving;
 }
 
-void FrontDaemon::Impl::becomeReady() {
+void FrontDaemon::Impl::announceIfReady() {
   if (!ready() || Fleet->view().Members.empty())
     return;
   Fleet->setState(MemberState::Alive);
@@ -234,7 +241,7 @@
     A.reply(problemReply(ResultCode::UnknownPath, R.Path));
     return;
   }
-  EntryQuery Q = Adapter.ReadQuestion(R.Query);
+  EntryQuery Q = Adapter.ParseQuery(R.Query);
   AllowedRegions Regions = Requests.config()
                                ? Requests.config()->regionsOf(Q.Host)
                                : AllowedRegions::anywhere();
@@ -282,7 +289,7 @@
   }
   Suspended = Now;
   Requests.tick();
-  share(Loop.now());
+  updateSharing(Loop.now());
   measureLoad();
   Timers.after(HousekeepingPeriod, [this] { housekeeping(); });
 }
@@ -292,13 +299,12 @@
   Duration Passed = Now - LoadAt;
   if (Passed < LoadPeriod)
     return;
-  shareWarmup(Now);
+  updateWarmupSenders(Now);
   Duration Busy = Loop.busy() - std::exchange(BusyBefore, Loop.busy());
   LoadAt = Now;
   std::uint32_t Before = Fleet->self().Load;
-  std::uint32_t Announced =
-      Load.observe(toMillisF(Busy) / toMillisF(Passed),
-                   Requests.handled() >= LeastHandled, Now);
+  std::uint32_t Announced = Load.observe(toMillisF(Busy) / toMillisF(Passed),
+                                         Requests.handled() >= MinHandled, Now);
   if (Announced == Before)
     return;
   logEvent(LogLevel::Info, "load_told",
@@ -308,7 +314,7 @@
   Fleet->setLoad(Announced);
 }
 
-void FrontDaemon::Impl::leave() {
+void FrontDaemon::Impl::beginStop() {
   Leaving = true;
   LeavingSince = Loop.now();
   logEvent(LogLevel::Info, "leaving",
@@ -316,40 +322,39 @@
             {"connections", std::to_string(Callers->connections())}});
   Fleet->setState(MemberState::Leaving);
   Callers->closeAfterReply();
-  lastCalls();
+  pollStop();
 }
 
-void FrontDaemon::Impl::lastCalls() {
+void FrontDaemon::Impl::pollStop() {
   Duration Since = Loop.now() - LeavingSince;
-  bool Late = Since >= Set.StopGrace - LastCalls;
+  bool Late = Since >= Set.StopGrace - CloseBeforeKill;
   if (Late) {
     Callers->stopAccepting();
     Callers->closeIdle();
   }
-  bool Alone = Callers->connections() == 0 && Requests.inFlight() == 0;
-  bool WaitedEnough = Late || Since >= LeastLeaving;
-  if ((Alone && WaitedEnough) ||
-      Since >= Set.StopGrace - EndMargin - LastAnswers) {
-    closeDoors();
+  bool Idle = Callers->connections() == 0 && Requests.inFlight() == 0;
+  bool WaitedEnough = Late || Since >= MinStopTime;
+  if ((Idle && WaitedEnough) ||
+      Since >= Set.StopGrace - ExitMargin - FinalDrain) {
+    stopListening();
     return;
   }
-  Timers.after(Millis(50), [this] { lastCalls(); });
+  Timers.after(Millis(50), [this] { pollStop(); });
 }
 
-/// The failure: a process that ends as soon as no caller's request is left cuts
-/// off who has just asked its directory, or has just connected. So no
-/// connection is accepted from here on, and those that are open are answered
-/// before the end.
-void FrontDaemon::Impl::closeDoors() {
+/// Stops accepting connections and completes the open ones before the exit. A
+/// process that exits as soon as no caller request is left would cut off
+/// callers that have just queried the directory or just connected.
+void FrontDaemon::Impl::stopListening() {
   Callers->stopAccepting();
   for (HttpServer *S : {Directory.get(), Readiness.get()}) {
     S->closeAfterReply();
     S->stopAccepting();
   }
-  lastAnswers(Loop.now() + LastAnswers);
+  awaitLastReplies(Loop.now() + FinalDrain);
 }
 
-void FrontDaemon::Impl::lastAnswers(Instant Until) {
+void FrontDaemon::Impl::awaitLastReplies(Instant Until) {
   bool Open = Callers->connections() > 0 || Requests.inFlight() > 0 ||
               Directory->openConnections() > 0 ||
               Readiness->openConnections() > 0;
@@ -357,7 +362,7 @@
     end();
     return;
   }
-  Timers.after(LastAnswersPeriod, [this, Until] { lastAnswers(Until); });
+  Timers.after(FinalDrainPeriod, [this, Until] { awaitLastReplies(Until); });
 }
 
 void FrontDaemon::Impl::end() {
@@ -398,7 +403,7 @@
   I->Callers->setOptions(callerOptions(Config.limits()));
   I->Requests.install(std::make_shared<ServingConfig>(std::move(Config)));
   if (First)
-    I->becomeReady();
+    I->announceIfReady();
 }
 
 ReplicaRegistry &FrontDaemon::replicas() { return I->Replicas; }
@@ -407,7 +412,7 @@
 
 void FrontDaemon::replicasListed() {
   if (!std::exchange(I->Listed, true))
-    I->becomeReady();
+    I->announceIfReady();
 }
 
 void FrontDaemon::evacuate(std::set<AvailabilityZone> Zones) {
@@ -415,16 +420,16 @@
   I->Meter.gauge("shallot_zones_evacuated", {}, double(Zones.size()));
   I->Replicas.setEvacuated(std::move(Zones), I->Loop.now());
   if (First)
-    I->becomeReady();
+    I->announceIfReady();
 }
 
 void FrontDaemon::servePeers(HttpServer::Handler Fn) {
-  I->OnPeer = std::move(Fn);
+  I->PeerHandler = std::move(Fn);
 }
 
 void FrontDaemon::onFleetChanged(std::function<void()> Fn) {
-  I->OnFleet = std::move(Fn);
-  I->OnFleet();
+  I->FleetChangedFn = std::move(Fn);
+  I->FleetChangedFn();
 }
 
 const FleetView &FrontDaemon::view() const { return I->Fleet->view(); }
@@ -447,7 +452,7 @@
   if (I->Leaving)
     return;
   I->Gone = std::move(Gone);
-  I->leave();
+  I->beginStop();
 }
 
 } // namespace shallot
--- a/packages/front/FrontDaemon.h
+++ b/packages/front/FrontDaemon.h
@@ -1,17 +1,19 @@
-//===- FrontDaemon.h - A daemon that forwards for a deployment --*- C++ -*-===//
+//===- FrontDaemon.h - Request-forwarding daemon ----------------*- C++ -*-===//
 //
-// Serves callers by routes, answers where callers should connect, says whether
-// it is ready, and stops in order. Whoever joins it to a deployment gives it
-// the configuration and the replicas as they change:
+// Forwards callers' requests by route, serves the directory of entry addresses,
+// reports readiness and shuts down gracefully. The code that connects it to a
+// deployment supplies the configuration and the replicas as they change:
 //
 //   auto D = FrontDaemon::open(Loop, Settings, Adapter, Seed);
 //   (*D)->install(Config);        // from the store, at each change
 //   (*D)->replicas().put(Entry, Now);
 //
-// A stop: from the signal on it is not ready, others do not name it to callers,
-// and every answer closes its connection. It goes on accepting for callers that
-// still keep its address, and ends when none is left or just before it would be
-// killed. A request that was read is never cut off by it.
+// Shutdown: once the stop signal arrives, the daemon reports itself not ready,
+// peers no longer list it in the directory, and every reply closes its
+// connection. It keeps accepting connections from callers that still have its
+// address cached. It exits when no connection is left, or shortly before the
+// process would be killed. The shutdown does not cut off a request that has
+// been read.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FRONTDAEMON_H
@@ -28,28 +30,28 @@
 
 namespace shallot {
 
-/// What a caller asks the directory.
+/// A directory lookup by a caller.
 struct EntryQuery {
   Place Caller;
-  std::string Host; ///< That it wants to send requests to.
+  std::string Host; ///< Host that the requests are for.
 
   friend bool operator==(const EntryQuery &, const EntryQuery &) = default;
 };
 
-/// What the deployment's own names and forms are; the rest is the product's.
+/// Names and encodings that are specific to a deployment.
 struct FrontAdapter {
   HeaderNames Headers;
   std::string ReadyPath;
   std::string DirectoryPath;
-  /// Reads a question from a query string, and writes the answer's body.
-  std::function<EntryQuery(std::string_view Query)> ReadQuestion;
+  /// Parses the query string of a lookup, and writes the body of the reply.
+  std::function<EntryQuery(std::string_view Query)> ParseQuery;
   std::function<std::string(const std::vector<Endpoint> &, Duration Validity)>
       WriteAddresses;
 };
 
 class FrontDaemon {
 public:
-  /// Listens on every address of \p Set. Fails with AddressInUse or
+  /// Listens on all addresses of \p Set. Fails with AddressInUse or
   /// SettingsInvalid.
   static Result<std::unique_ptr<FrontDaemon>> open(EventLoop &Loop,
                                                    const FrontSettings &Set,
@@ -59,28 +61,29 @@
   FrontDaemon(const FrontDaemon &) = delete;
   FrontDaemon &operator=(const FrontDaemon &) = delete;
 
-  /// A configuration older than the one in force is ignored.
+  /// Ignores a configuration that is not newer than the one in force.
   void install(ServingConfig Config);
   ReplicaRegistry &replicas();
-  /// What is known of requests under which replicas crashed.
+  /// Requests that are known to crash replicas.
   QuarantineGate &quarantine();
-  /// The replicas were listed once, so that their absence means something.
+  /// Reports that the replicas have been listed once: from now on a replica
+  /// that is absent from the registry does not exist.
   void replicasListed();
-  /// Replicas of \p Zones get nothing until this is called without them.
+  /// Sends no requests to replicas in \p Zones. Replaces the previous set.
   void evacuate(std::set<AvailabilityZone> Zones);
-  /// Answers what peers ask.
+  /// Sets the handler for HTTP requests from peers.
   void servePeers(HttpServer::Handler Fn);
-  /// \p Fn is called at once and whenever view() has changed.
+  /// Calls \p Fn immediately and after each change of view().
   void onFleetChanged(std::function<void()> Fn);
   const FleetView &view() const;
   FleetLink &fleet();
-  /// The version in force; 0: none yet.
+  /// Version of the configuration in force; 0 if there is none yet.
   std::uint64_t configVersion() const;
   const FrontSettings &settings() const;
   TimerQueue &timers();
   Random &random();
   Metrics &metrics();
-  /// Stops in order; \p Gone is called when the process may end.
+  /// Starts a graceful shutdown; \p Gone is called when the process may exit.
   void requestStop(std::function<void()> Gone);
 
 private:
--- a/packages/front/FrontSettings.cpp
+++ b/packages/front/FrontSettings.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Beyond an hour a bound is a mistake in its unit.
-constexpr double MostSeconds = 3600;
-constexpr double MostRetries = 1e6;
-constexpr double MostCores = 4096;
+/// A bound of more than an hour indicates a wrong unit.
+constexpr double MaxSeconds = 3600;
+constexpr double MaxRetries = 1e6;
+constexpr double MaxCores = 4096;
 
 Result<Endpoint> endpoint(JsonFields &F, std::string_view Key) {
   BOOST_LEAF_AUTO(Text, F.string(Key));
@@ -22,7 +22,7 @@
 }
 
 Result<Duration> seconds(JsonFields &F, std::string_view Key) {
-  BOOST_LEAF_AUTO(S, F.number(Key, 0, MostSeconds));
+  BOOST_LEAF_AUTO(S, F.number(Key, 0, MaxSeconds));
   return fromMillisF(S * 1000);
 }
 
@@ -35,7 +35,8 @@
   BOOST_LEAF_AUTO(Zones, F.object("zones"));
   for (const auto &[Name, Value] : Zones->items()) {
     if (!Value.is_string())
-      return fail(ResultCode::WrongType, "zones." + Name + ": name a region");
+      return fail(ResultCode::WrongType,
+                  "zones." + Name + ": expected the name of a region");
     S.Zones.emplace(AvailabilityZone(Name), Region(Value.get<std::string>()));
   }
   return {};
@@ -52,7 +53,7 @@
   BOOST_LEAF_AUTO(Seeds, F.array("seeds"));
   for (const nlohmann::json &Item : *Seeds) {
     if (!Item.is_string())
-      return fail(ResultCode::WrongType, "seeds: name an address each");
+      return fail(ResultCode::WrongType, "seeds: expected a list of addresses");
     BOOST_LEAF_AUTO(Seed, Endpoint::parse(Item.get<std::string>(), "seeds"));
     S.Seeds.push_back(std::move(Seed));
   }
@@ -61,29 +62,29 @@
 
 Result<void> readBounds(JsonFields &F, FrontSettings &S) {
   BOOST_LEAF_ASSIGN(S.StopGrace, seconds(F, "stop_grace_s"));
-  BOOST_LEAF_AUTO(DrainMs, F.number("drain_ms", 0, MostSeconds * 1000));
+  BOOST_LEAF_AUTO(DrainMs, F.number("drain_ms", 0, MaxSeconds * 1000));
   S.DrainDuration = fromMillisF(DrainMs);
   BOOST_LEAF_ASSIGN(S.EntryValidity, seconds(F, "entry_validity_s"));
   BOOST_LEAF_ASSIGN(S.Retries.Ratio, F.number("retry_ratio", 0, 1));
   BOOST_LEAF_ASSIGN(S.Retries.Window, seconds(F, "retry_window_s"));
   BOOST_LEAF_ASSIGN(S.Retries.Constant,
-                    F.number("retry_constant", 0, MostRetries));
+                    F.number("retry_constant", 0, MaxRetries));
   if (F.has("evacuation_ms")) {
-    BOOST_LEAF_AUTO(Ms, F.number("evacuation_ms", 0, MostSeconds * 1000));
+    BOOST_LEAF_AUTO(Ms, F.number("evacuation_ms", 0, MaxSeconds * 1000));
     S.Evacuation = fromMillisF(Ms);
   }
   if (F.has("warmup_overage")) {
     BOOST_LEAF_ASSIGN(S.Warmup.Overage,
-                      F.number("warmup_overage", 0, MostRetries));
+                      F.number("warmup_overage", 0, MaxRetries));
   }
   if (F.has("warmup_slack")) {
-    BOOST_LEAF_ASSIGN(S.Warmup.Slack, F.number("warmup_slack", 0, MostRetries));
+    BOOST_LEAF_ASSIGN(S.Warmup.Slack, F.number("warmup_slack", 0, MaxRetries));
   }
   BOOST_LEAF_AUTO(Share, F.number("cpu_share", 0, 1));
-  BOOST_LEAF_AUTO(Cores, F.number("cores", 0, MostCores));
+  BOOST_LEAF_AUTO(Cores, F.number("cores", 0, MaxCores));
   S.Cores = Share * Cores;
   if (S.Retries.Window < Seconds(1))
-    return fail(ResultCode::OutOfRange, "retry_window_s: at least 1");
+    return fail(ResultCode::OutOfRange, "retry_window_s: must be at least 1");
   return {};
 }
 
--- a/packages/front/FrontSettings.h
+++ b/packages/front/FrontSettings.h
@@ -1,8 +1,9 @@
-//===- FrontSettings.h - What a front daemon is told at start ---*- C++ -*-===//
+//===- FrontSettings.h - Settings of a front daemon -------------*- C++ -*-===//
 //
-// Who and where it is, where it listens, and the bounds that the operator sets
-// for stops and repeated sends. Routes and limits are configuration and come
-// from the store. JSON, every field checked and named in the error:
+// Identity, place and listening addresses of the daemon, and the bounds that
+// the operator sets for shutdown and retries. Routes and limits are part of the
+// configuration in the store. The format is JSON; every field is checked, and
+// errors name the field:
 //
 //   {"host": "front-1", "zone": "dkh-hall-1", "region": "darkhan",
 //    "callers": "10.0.0.1:8226", "readiness": "10.0.0.1:8227",
@@ -15,8 +16,8 @@
 //    "retry_ratio": 0.2, "retry_window_s": 10, "retry_constant": 52,
 //    "evacuation_ms": 5000, "warmup_overage": 1.5, "warmup_slack": 5}
 //
-// The last three are left out where availability zones are not evacuated and
-// cold replicas have no bound.
+// The last three fields are omitted where availability zones are not evacuated
+// and the load on cold replicas is not bounded.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FRONTSETTINGS_H
@@ -42,18 +43,18 @@
   Endpoint Gossip; ///< UDP, membership.
   Endpoint Metrics;
   Endpoint Store;
-  /// Peers' addresses to begin with; they may be out of date.
+  /// Addresses of peers to contact first; they may be out of date.
   std::vector<Endpoint> Seeds;
   std::map<AvailabilityZone, Region> Zones;
   Duration StopGrace{};     ///< From the stop signal to the kill.
-  Duration DrainDuration{}; ///< A leaving replica serves on for this long.
-  Duration EntryValidity{}; ///< The longest that callers keep an address.
+  Duration DrainDuration{}; ///< How long a draining replica keeps serving.
+  Duration EntryValidity{}; ///< Longest time that callers cache an address.
   RetryAllowance Retries;
-  /// An evacuated zone gets nothing later than this after the order; not set
-  /// where zones are not evacuated.
+  /// Maximum time from the order to evacuate a zone until the zone receives no
+  /// more requests; not set where zones are not evacuated.
   std::optional<Duration> Evacuation;
   WarmupBound Warmup;
-  double Cores = 0; ///< What this host gives the process, in cores.
+  double Cores = 0; ///< Share of the host for this process, in cores.
 
   friend bool operator==(const FrontSettings &,
                          const FrontSettings &) = default;
@@ -61,7 +62,7 @@
   /// Fails with the field's name: MalformedJson, MissingField, WrongType,
   /// OutOfRange, UnknownField.
   static Result<FrontSettings> parse(std::string_view Json);
-  /// Reads and parses a file. Fails with SettingsUnreadable too.
+  /// Reads and parses a file. Also fails with SettingsUnreadable.
   static Result<FrontSettings> load(const std::string &Path);
 };
 
--- a/packages/front/HeaderNames.h
+++ b/packages/front/HeaderNames.h
@@ -1,7 +1,8 @@
-//===- HeaderNames.h - What callers and replicas call their headers C++ -*-===//
+//===- HeaderNames.h - Header names of a deployment -------------*- C++ -*-===//
 //
-// The headers by which callers and replicas say what this tier needs to know.
-// Their names are the deployment's; the adapter to it fills this in once.
+// Names of the headers through which callers and replicas exchange data with
+// this tier. The names belong to the deployment; its adapter fills in this
+// struct once.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_HEADERNAMES_H
@@ -12,14 +13,14 @@
 namespace shallot {
 
 struct HeaderNames {
-  std::string RequestId; ///< Names one attempt of a caller; replicas repeat it.
-  std::string Deadline;  ///< Milliseconds that the sender will wait.
-  std::string Signature; ///< A replica's proof that it ran the request.
-  std::string Wanted;    ///< The only replica that may run the request.
-  std::string Load;      ///< A replica's running, waiting, slots.
-  std::string NotRun;    ///< The replica did not run the request.
-  std::string Signatures; ///< Of the parts of a merged answer.
-  std::string Missing;    ///< How many parts a merged answer lacks.
+  std::string RequestId;     ///< ID of one caller attempt; replicas echo it.
+  std::string Deadline;      ///< Milliseconds that the sender waits.
+  std::string Signature;     ///< Proof of a replica that it ran the request.
+  std::string TargetReplica; ///< The only replica that may run it.
+  std::string Load;          ///< Running, waiting, slots of a replica.
+  std::string NotRun;        ///< The replica did not run the request.
+  std::string Signatures;    ///< Signatures of the parts of a merged answer.
+  std::string MissingParts;  ///< Number of missing parts in a merged answer.
 
   friend bool operator==(const HeaderNames &, const HeaderNames &) = default;
 };
--- a/packages/front/RelayedStore.h
+++ b/packages/front/RelayedStore.h
@@ -1,8 +1,8 @@
 //===- RelayedStore.h - The store, or a peer that watches it ----*- C++ -*-===//
 //
-// Stands between the KindWatch of one kind and the store: each call goes to the
-// source that FeedSources names at that moment. Revisions are the store's
-// everywhere, so a change of source loses nothing.
+// Proxy between the KindWatch of one kind and the store: each call goes to the
+// source that FeedSources selects at that moment. All sources use the revisions
+// of the store, so nothing is lost when the source changes.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_RELAYEDSTORE_H
@@ -17,24 +17,25 @@
 
 namespace shallot {
 
-/// How long a peer may hold a request. It answers changes at once and reports
-/// the loss of the store, and membership reports its own loss; this only bounds
-/// what all of these miss.
+/// How long a peer may hold a request. A peer replies to changes and to the
+/// loss of the store immediately, and membership reports the loss of the peer;
+/// this bounds the cases that all of these miss.
 inline constexpr Duration PeerWait = Seconds(4);
-/// A daemon that others read from uses a peer only while the store does not
-/// answer it, and not for long: two such daemons that wait for each other
-/// receive nothing.
+/// The same for a daemon that watches the store for its region. It uses a peer
+/// only while the store does not answer, and only briefly: two such daemons
+/// waiting for each other would receive nothing.
 inline constexpr Duration WatcherPeerWait = Millis(400);
-inline constexpr Duration PeerSlack = Millis(700);
+inline constexpr Duration PeerTimeoutMargin = Millis(700);
 inline constexpr Duration PeerListTimeout = Millis(800);
-/// A peer whose answer has begun and from which nothing more came for this long
-/// is lost: TCP sends a lost packet again after 0.2 and 0.4 s.
-inline constexpr Duration PeerStall = Millis(1000);
-/// How long a peer that has read nothing yet may hold a list: the store answers
-/// in milliseconds, and the sender calls the store itself afterwards.
+/// A reply that has begun and from which nothing more arrives for this long is
+/// considered lost. TCP retransmits a lost packet after 0.2 and 0.4 s.
+inline constexpr Duration PeerStallTimeout = Millis(1000);
+/// How long a peer that has read nothing yet may hold a list request. The store
+/// answers in milliseconds, and the requester calls the store itself
+/// afterwards.
 inline constexpr Duration PeerListWait = Millis(300);
 
-/// A store whose calls can be looked at and given up while they run.
+/// A store whose calls can be inspected and cancelled while they run.
 template <typename S>
 concept CallableStore = KindStore<S> &&
     requires(S &Store, std::string Text, std::uint64_t Revision, Duration Wait,
@@ -48,24 +49,24 @@
   Store.cancel(Id);
 };
 
-/// One call at a time: the next one gives up the one before, so that what still
-/// comes of that takes nothing of the link.
+/// Runs one call at a time. A new call cancels the one before, so that the
+/// remainder of the old reply takes no bandwidth.
 template <CallableStore Store> class RelayedStore {
 public:
-  RelayedStore(EventLoop &Loop, HttpClient &Http, Store &S, FeedSources From,
+  RelayedStore(EventLoop &Loop, HttpClient &Http, Store &S, FeedSources Sources,
                Random &Rng, Metrics &Meter)
-      : Loop(Loop), Http(Http), S(S), From(std::move(From)), Rng(Rng),
+      : Loop(Loop), Http(Http), S(S), Sources(std::move(Sources)), Rng(Rng),
         Meter(Meter) {}
 
-  FeedSources &sources() { return From; }
+  FeedSources &sources() { return Sources; }
 
   void list(const std::string &Kind, const std::string &After,
             StoreCallback<KindPage> OnDone) {
-    giveUp(Kind);
-    FeedSource Source = choose(Kind, false);
+    cancelCurrentCall(Kind);
+    FeedSource Source = chooseSource(Kind, false);
     auto Done = [this, Kind, Source,
                  OnDone = std::move(OnDone)](Attempt<KindPage> P) {
-      judge(Source, P);
+      recordResult(Source, P);
       Listed = Listed || (P && !P->More);
       OnDone(std::move(P));
     };
@@ -77,20 +78,21 @@
     Q.Kind = Kind;
     Q.After = After;
     Q.Wait = PeerListWait;
-    ask(Source, Q, PeerListTimeout,
+    callPeer(
+        Source, Q, PeerListTimeout,
         [Done = std::move(Done)](const HttpReply &R) { Done(readPage(R)); });
   }
 
   void watchKind(const std::string &Kind, std::uint64_t Revision, Duration Wait,
                  StoreCallback<KindChanges> OnDone) {
-    giveUp(Kind);
-    FeedSource Source = choose(Kind, true);
+    cancelCurrentCall(Kind);
+    FeedSource Source = chooseSource(Kind, true);
     auto Done = [this, Source,
                  OnDone = std::move(OnDone)](Attempt<KindChanges> C) {
-      bool Fresh = judge(Source, C);
-      // No change from a peer whose data is stale proves nothing.
+      bool Fresh = recordResult(Source, C);
+      // A reply without changes from a peer with stale data proves nothing.
       if (C && !Fresh && C->Changes.empty())
-        OnDone(Error{ResultCode::PeerUnreachable, "the peer lost the store"});
+        OnDone(Error{ResultCode::PeerUnreachable, "peer data is stale"});
       else
         OnDone(std::move(C));
     };
@@ -101,24 +103,25 @@
     FeedRequest Q;
     Q.Kind = Kind;
     Q.Since = Revision;
-    Q.Wait = From.watchesStore() ? WatcherPeerWait : PeerWait;
-    Q.Relays = From.relays();
-    ask(Source, Q, Q.Wait + PeerSlack,
+    Q.Wait = Sources.watchesStore() ? WatcherPeerWait : PeerWait;
+    Q.Relays = Sources.relays();
+    callPeer(
+        Source, Q, Q.Wait + PeerTimeoutMargin,
         [Done = std::move(Done)](const HttpReply &R) { Done(readChanges(R)); });
   }
 
-  /// The source of the last call may be gone.
-  bool lost() const { return Last && From.lost(*Last); }
-  /// A part of an answer has come in the last \p D. Such a call is not given
-  /// up for another: the answer would begin anew.
+  /// True when the source of the last call may be unavailable.
+  bool lost() const { return Last && Sources.lost(*Last); }
+  /// True when part of a reply arrived within the last \p D. Such a call is not
+  /// cancelled for another one: the transfer would start over.
   bool receivedWithin(Duration D) const {
     std::optional<TransferProgress> P = progress();
     return P && P->Bytes != 0 && P->Silent <= D;
   }
 
 private:
-  FeedSource choose(const std::string &Kind, bool WasListed) {
-    FeedSource Source = From.next(WasListed || Listed, Loop.now());
+  FeedSource chooseSource(const std::string &Kind, bool WasListed) {
+    FeedSource Source = Sources.next(WasListed || Listed, Loop.now());
     if (Last != Source)
       logEvent(LogLevel::Info, "feed_source",
                {{"kind", Kind}, {"from", sourceName(Source)}});
@@ -126,29 +129,30 @@
     return Source;
   }
 
-  template <typename T> bool judge(const FeedSource &Source, Attempt<T> &Got) {
+  template <typename T>
+  bool recordResult(const FeedSource &Source, Attempt<T> &Got) {
     bool HistoryGone =
         !Got && Got.error().Code == ResultCode::PlatformHistoryGone;
     bool Fresh = HistoryGone || (Got && Got->Age <= MaxFeedAge);
     if (Fresh)
-      From.recordSuccess(Source);
+      Sources.recordSuccess(Source);
     else
-      From.recordFailure(Source, Rng, Loop.now());
+      Sources.recordFailure(Source, Rng, Loop.now());
     return Fresh;
   }
 
-  void ask(const FeedSource &Source, const FeedRequest &Q, Duration Timeout,
-           HttpClient::Callback Done) {
+  void callPeer(const FeedSource &Source, const FeedRequest &Q,
+                Duration Timeout, HttpClient::Callback Done) {
     HttpRequest R;
     R.To = Source.Peer->Rpc;
     R.Path = feedTarget(Q);
     R.Timeout = Timeout;
-    R.Stall = PeerStall;
+    R.Stall = PeerStallTimeout;
     R.AcceptDeflated = true;
     Call = Http.send(std::move(R),
                      [this, Source, Kind = Q.Kind,
                       Done = std::move(Done)](const HttpReply &Reply) {
-                       reportAnswer(Meter, {Kind, sourceName(Source)}, Reply);
+                       reportReply(Meter, {Kind, sourceName(Source)}, Reply);
                        Done(Reply);
                      });
   }
@@ -159,12 +163,12 @@
     return Last->direct() ? S.progress(Call) : Http.progress(Call);
   }
 
-  /// Ends the call that is out, if there is one: another takes its place.
-  void giveUp(const std::string &Kind) {
+  /// Cancels the call in progress, if any.
+  void cancelCurrentCall(const std::string &Kind) {
     std::optional<TransferProgress> P = progress();
     if (!P)
       return;
-    reportGivenUp(Meter, {Kind, sourceName(*Last)}, *P);
+    reportCancelled(Meter, {Kind, sourceName(*Last)}, *P);
     if (Last->direct())
       S.cancel(Call);
     else
@@ -178,11 +182,11 @@
   EventLoop &Loop;
   HttpClient &Http;
   Store &S;
-  FeedSources From;
+  FeedSources Sources;
   Random &Rng;
   Metrics &Meter;
   bool Listed = false;
-  std::optional<FeedSource> Last; ///< Of the latest call.
+  std::optional<FeedSource> Last; ///< Source of the latest call.
   HttpClient::TransferId Call = 0;
 };
 
--- a/packages/front/ReplyReading.cpp
+++ b/packages/front/ReplyReading.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// The replica at this address is another than the one that was asked for.
+/// The replica at this address is not the one that was addressed.
 constexpr int MisdirectedRequest = 421;
 
-/// No replica runs or queues this many; a larger figure is spoilt, and would
-/// keep callers from the replica until it is forgotten.
-constexpr unsigned MostReported = 100000;
+/// No replica runs or queues this many; a larger number is corrupt and would
+/// keep callers away from the replica until it expires.
+constexpr unsigned MaxReportedLoad = 100000;
 
 bool isEncoded(const HttpHeaders &Headers) {
   std::string_view Coding = headerValue(Headers, "Content-Encoding");
   return !Coding.empty() && !sameHeaderName(Coding, "identity");
 }
 
-HttpHeaders passedOn(HttpHeaders Headers) {
+HttpHeaders forwardedHeaders(HttpHeaders Headers) {
   std::string Connection(headerValue(Headers, "Connection"));
   std::erase_if(Headers, [&](const HttpHeader &H) {
     return isHopHeader(H.Name, Connection);
@@ -37,7 +37,7 @@
   for (unsigned &F : Figures) {
     auto [Next, Error] = std::from_chars(At, End, F);
     bool Separated = Next == End || *Next == ',';
-    if (Error != std::errc() || !Separated || F > MostReported)
+    if (Error != std::errc() || !Separated || F > MaxReportedLoad)
       return std::nullopt;
     At = Next < End ? Next + 1 : End;
   }
@@ -71,7 +71,7 @@
   Out.Encoded = isEncoded(Reply.Headers);
   Out.Body = std::move(Reply.Body);
   if (KeepHeaders)
-    Out.Headers = passedOn(std::move(Reply.Headers));
+    Out.Headers = forwardedHeaders(std::move(Reply.Headers));
   R.Reply = std::move(Out);
   return R;
 }
--- a/packages/front/ReplyReading.h
+++ b/packages/front/ReplyReading.h
@@ -1,4 +1,4 @@
-//===- ReplyReading.h - What a replica's reply says -------------*- C++ -*-===//
+//===- ReplyReading.h - Interpretation of replica replies -------*- C++ -*-===//
 #ifndef SHALLOTSHIFT_FRONT_REPLYREADING_H
 #define SHALLOTSHIFT_FRONT_REPLYREADING_H
 
@@ -8,13 +8,14 @@
 
 namespace shallot {
 
-/// What \p Reply proves about the send. \p KeepHeaders: they are passed on.
+/// Outcome of a send as shown by \p Reply. \p KeepHeaders: the headers are
+/// forwarded to the caller.
 SendResult readReply(const HeaderNames &Names, UpstreamReply Reply,
                      bool KeepHeaders);
 
-/// The load in \p Text, "running,waiting,slots"; further figures are ignored.
-/// Nothing when it cannot be one: garbled replies come, and a replica without
-/// slots would look full for good.
+/// Parses the load from \p Text, "running,waiting,slots"; further numbers are
+/// ignored. Returns nothing for an invalid value: garbled replies occur, and a
+/// replica without slots would look full permanently.
 std::optional<ReportedLoad> readLoad(std::string_view Text);
 
 } // namespace shallot
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -1,7 +1,7 @@
 //===- RequestAdmission.cpp -----------------------------------------------===//
 //
-// Requests before their first send: those under which replicas crashed, and the
-// wait for a turn at the replicas.
+// Handling of requests before their first send: quarantine checks and
+// admission.
 //
 //===----------------------------------------------------------------------===//
 #include "front/AnswerWriting.h"
@@ -12,34 +12,35 @@
 namespace {
 
 OwnAnswer overloadAnswer(const AdmissionDecision &V) {
-  return {V.Code, V.RetryAfter, "more than the replicas can take"};
+  return {V.Code, V.RetryAfter,
+          "request rate exceeds the capacity of the replicas"};
 }
 
 } // namespace
 
-/// A request under which replicas crashed is refused at once, or waits for the
-/// grant of a trial; it takes no place among those that wait for replicas.
-void RequestHandler::Impl::vet(const JobPtr &J) {
+/// Requests that crashed replicas are rejected or wait for a trial to be
+/// granted; they hold no place in the admission queue meanwhile.
+void RequestHandler::Impl::checkQuarantine(const JobPtr &J) {
   switch (Gate.standing(J->Name)) {
   case Standing::Clear:
   case Standing::Suspect:
     admit(J);
     return;
   case Standing::OnTrial:
-    askTrial(J);
+    awaitTrial(J);
     return;
   case Standing::Quarantined:
-    turnAway(J, quarantinedAnswer());
+    reject(J, quarantinedAnswer());
     return;
   }
 }
 
-void RequestHandler::Impl::askTrial(const JobPtr &J) {
+void RequestHandler::Impl::awaitTrial(const JobPtr &J) {
   auto OnDecision = [this, Weak = std::weak_ptr(J),
                      Name = J->Name](bool Granted) {
     JobPtr J = Weak.lock();
     if (!J || J->Run.answered()) {
-      // Its caller has gone, or was told to come back.
+      // The caller has disconnected or was told to retry later.
       if (Granted)
         Gate.trialUnused(Name);
       return;
@@ -49,22 +50,22 @@
     J->Trial = Granted;
     if (Granted)
       return admit(J);
-    // Others may have cleared or proven it meanwhile.
+    // Another daemon may have cleared or quarantined the request meanwhile.
     if (Gate.standing(J->Name) != Standing::OnTrial)
-      return vet(J);
-    turnAway(J, noTrialAnswer());
+      return checkQuarantine(J);
+    reject(J, trialUnavailableAnswer());
   };
   J->Timer = Timers.after(MostTrialWait, [OnDecision] { OnDecision(false); });
   Gate.requestTrial(J->Name, OnDecision);
 }
 
-/// Starts it, lets it wait for its turn, or turns it away at once.
+/// Starts the request, queues it or rejects it.
 void RequestHandler::Impl::admit(const JobPtr &J) {
   const ForwardRequest &Request = J->Run.request();
   J->Ticket = ++LastTicket;
   AdmissionDecision V =
-      Admit.offer(*Request.Matched, J->Ticket,
-                  Request.Arrived + Request.CallerWaits, Timers.now());
+      Admission.offer(*Request.Matched, J->Ticket,
+                      Request.Arrived + Request.CallerWaits, Timers.now());
   switch (V.What) {
   case AdmissionAction::Start:
     start(J);
@@ -74,48 +75,49 @@
     pollAdmission();
     return;
   case AdmissionAction::Refuse:
-    J->Ticket = 0; // It has no place there.
-    turnAway(J, overloadAnswer(V));
+    J->Ticket = 0; // Refused, so no place is held.
+    reject(J, overloadAnswer(V));
     return;
   }
 }
 
-/// Other attempts may have crashed replicas while this one waited.
+/// Checks the quarantine again, as other attempts may have crashed replicas
+/// while this one was queued.
 void RequestHandler::Impl::start(const JobPtr &J) {
   Standing Now = Gate.standing(J->Name);
   if (Now == Standing::Quarantined && !J->Trial)
-    return turnAway(J, quarantinedAnswer());
+    return reject(J, quarantinedAnswer());
   if (Now == Standing::OnTrial && !J->Trial)
-    return turnAway(J, noTrialAnswer());
+    return reject(J, trialUnavailableAnswer());
   J->Run.beCareful(Gate.cautionFor(J->Name, J->Trial), Gate.crashesOf(J->Name));
   apply(J, J->Run.begin(Shared, Timers.now()));
 }
 
-/// Nothing of it was sent: it leaves as if its caller had gone, and the caller
-/// is told when to come back, if it should.
-void RequestHandler::Impl::turnAway(const JobPtr &J, OwnAnswer A) {
+/// Nothing was sent yet: ends the run as if the caller had disconnected, and
+/// returns the error, with the time to retry after if there is one.
+void RequestHandler::Impl::reject(const JobPtr &J, OwnAnswer A) {
   if (TicketId Ticket = std::exchange(J->Ticket, 0))
-    Admit.done(Ticket, {}, Timers.now());
+    Admission.done(Ticket, {}, Timers.now());
   J->Run.callerGone(Timers.now());
   answer(J, std::move(A));
   Jobs.erase(J);
 }
 
-/// It no longer takes a place among those that run.
-void RequestHandler::Impl::leave(const JobPtr &J) {
+/// Releases the place of the request in the queue or among the running ones.
+void RequestHandler::Impl::releaseTicket(const JobPtr &J) {
   TicketId Ticket = std::exchange(J->Ticket, 0);
   if (Ticket == 0)
     return;
   if (Waiting.erase(Ticket) > 0)
-    Admit.cancel(Ticket);
+    Admission.cancel(Ticket);
   else
-    Admit.done(Ticket, J->Run.load(Timers.now()), Timers.now());
+    Admission.done(Ticket, J->Run.load(Timers.now()), Timers.now());
   pollAdmission();
 }
 
-/// Starts and turns away those whose time has come.
+/// Starts or rejects queued requests that are due.
 void RequestHandler::Impl::pollAdmission() {
-  for (const AdmissionEvent &E : Admit.poll(Timers.now())) {
+  for (const AdmissionEvent &E : Admission.poll(Timers.now())) {
     auto At = Waiting.find(E.Id);
     if (At == Waiting.end())
       continue;
@@ -126,12 +128,12 @@
       continue;
     }
     J->Ticket = 0;
-    turnAway(J, overloadAnswer(E.Final));
+    reject(J, overloadAnswer(E.Final));
   }
   Shared.Pressed = !Waiting.empty();
   Timers.cancel(AdmissionTimer);
   AdmissionTimer = 0;
-  if (auto Next = Admit.nextExpiry())
+  if (auto Next = Admission.nextExpiry())
     AdmissionTimer = Timers.at(*Next, [this] {
       AdmissionTimer = 0;
       pollAdmission();
--- a/packages/front/RequestHandler.cpp
+++ b/packages/front/RequestHandler.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-/// A caller without a configuration to serve it comes back after this.
+/// Retry delay for callers while there is no configuration yet.
 constexpr Duration NotReadyRetry = Millis(300);
-/// A request that may run only once is not sent on a connection that was quiet
-/// for longer: the replica may be closing it at that moment, and whether it ran
-/// would be unknown.
-constexpr Duration MostIdleForOnce = Millis(1500);
-constexpr Duration MostIdle = Seconds(60);
-/// Idle connections that are kept to one replica, near and far: enough for a
-/// burst, and after IdleFor only those that carry the usual load. With fewer a
-/// burst pays for handshakes; with more a fleet that lost power finds no room
-/// at the replicas, which still count the connections of before.
+/// A request that must run at most once is not sent on a connection that was
+/// idle for longer: the replica may be closing it at that moment, and whether
+/// the request ran would be unknown.
+constexpr Duration MaxIdleForAtMostOnce = Millis(1500);
+constexpr Duration MaxIdle = Seconds(60);
+/// Idle connections to one replica, near and far: enough for a burst, and after
+/// IdleFor only those for the usual load. With fewer, a burst pays for
+/// handshakes; with more, a fleet that lost power finds no free connections at
+/// the replicas, which still count the earlier ones.
 struct IdleBounds {
-  std::size_t Most;
-  std::size_t Least;
+  std::size_t Max;
+  std::size_t Min;
 };
 constexpr IdleBounds NearIdle{8, 2};
 constexpr IdleBounds FarIdle{3, 1};
@@ -74,12 +74,12 @@
       return;
     --Unanswered;
     Meter.count("shallot_forward_gone_total");
-    leave(J);
+    releaseTicket(J);
     apply(J, J->Run.callerGone(Timers.now()));
-    noteFailure(J);
-    noteTrial(J);
+    reportCrashes(J);
+    returnUnusedTrial(J);
   });
-  vet(J);
+  checkQuarantine(J);
 }
 
 void RequestHandler::Impl::apply(const JobPtr &J, RunOutput Out) {
@@ -90,7 +90,7 @@
   if (Out.Answer)
     answer(J, std::move(*Out.Answer));
   else if (J->Run.makesRoom())
-    leave(J);
+    releaseTicket(J);
   schedule(J);
 }
 
@@ -100,7 +100,7 @@
   U.To = S.To->entry().At;
   U.OpenedFrom = S.To->connectionsFrom();
   HttpHeaders Extra = {{Names.Deadline, std::to_string(toMillis(S.TimeLeft))},
-                       {Names.Wanted, S.To->entry().Id.str()}};
+                       {Names.TargetReplica, S.To->entry().Id.str()}};
   U.Bytes = requestText(J->Head, Extra, R.Body);
   U.ToHead = R.Method == "HEAD";
   U.EchoName = Names.RequestId;
@@ -108,9 +108,9 @@
   bool Once = J->Run.request().Matched->Kind == Repetition::AtMostOnce;
   bool Far = S.To->distance() == Distance::OtherRegion;
   U.MostKept =
-      (Far ? FarIdle : NearIdle).Most + S.To->allowance().extra(Timers.now());
-  U.LeastKept = (Far ? FarIdle : NearIdle).Least;
-  U.MostIdle = Once ? MostIdleForOnce : MostIdle;
+      (Far ? FarIdle : NearIdle).Max + S.To->allowance().extra(Timers.now());
+  U.LeastKept = (Far ? FarIdle : NearIdle).Min;
+  U.MostIdle = Once ? MaxIdleForAtMostOnce : MaxIdle;
   auto Done = [this, J, Send = S.Send, To = S.To](UpstreamReply Reply) {
     J->Calls[Send] = 0;
     sendEnded(J, Send, To->entry(), std::move(Reply));
@@ -120,9 +120,9 @@
   J->Calls[S.Send] = Pool.send(std::move(U), std::move(Done));
 }
 
-/// Before a run of the request has ended well, a broken connection may mean
-/// that the request crashed its replica. That is found out before the run goes
-/// on: it would send the request to the next one.
+/// Until a run of the request has succeeded, a broken connection may mean that
+/// the request crashed its replica. This is checked before the run continues,
+/// because it would send the request to the next replica.
 void RequestHandler::Impl::sendEnded(const JobPtr &J, unsigned Send,
                                      const ReplicaEntry &To,
                                      UpstreamReply Reply) {
@@ -145,34 +145,34 @@
                                    SendResult Result) {
   bool Late = J->Run.answered() && Result.ReplicaCrashed;
   apply(J, J->Run.replied(Shared, Send, std::move(Result), Timers.now()));
-  if (J->Run.succeeded() && !std::exchange(J->Cleared, true))
+  if (J->Run.succeeded() && !std::exchange(J->SuccessReported, true))
     Gate.succeeded(J->Name);
   if (Late)
-    noteFailure(J);
+    reportCrashes(J);
 }
 
-/// What crashed under an attempt without success is for the other daemons to
-/// know, also when the caller did not wait for its end.
-void RequestHandler::Impl::noteFailure(const JobPtr &J) {
+/// Crashes caused by an attempt that never succeeded are reported to the other
+/// daemons, even if the caller did not wait for the end.
+void RequestHandler::Impl::reportCrashes(const JobPtr &J) {
   if (J->Run.succeeded() || J->Run.story().Crashed == 0)
     return;
-  bool First = !std::exchange(J->Suspected, true);
+  bool First = !std::exchange(J->CrashesReported, true);
   Gate.attemptFailed(J->Name, J->Trial, First);
 }
 
-/// There are few trials, and one that no replica saw has told nothing: replicas
-/// were all down, or others came first.
-void RequestHandler::Impl::noteTrial(const JobPtr &J) {
+/// Trials are scarce. A trial that reached no replica, because all were down or
+/// others came first, proves nothing and is returned.
+void RequestHandler::Impl::returnUnusedTrial(const JobPtr &J) {
   if (J->Trial && !J->Run.reachedReplicas())
     Gate.trialUnused(J->Name);
 }
 
 void RequestHandler::Impl::answer(const JobPtr &J, ForwardAnswer A) {
   --Unanswered;
-  leave(J);
-  noteFailure(J);
-  noteTrial(J);
-  noteAnswer(Meter, J->Name, J->Run, A, Timers.now());
+  releaseTicket(J);
+  reportCrashes(J);
+  returnUnusedTrial(J);
+  recordAnswer(Meter, J->Name, J->Run, A, Timers.now());
   J->E->reply(writeAnswer(std::move(A), Names, J->Name.Id));
 }
 
@@ -184,8 +184,8 @@
     return;
   }
   Instant Next = J->Run.nextTick();
-  // One that is set too early finds nothing to do and is set again; that is
-  // cheaper than moving it at each reply.
+  // A timer that fires too early does nothing and is set again; this is cheaper
+  // than moving it at each reply.
   if (J->Timer != 0 && J->TimerAt <= Next)
     return;
   Timers.cancel(J->Timer);
@@ -199,7 +199,7 @@
   });
 }
 
-void RequestHandler::Impl::tryResting() {
+void RequestHandler::Impl::probeUnavailableReplicas() {
   for (const ReplicaPtr &R : Shared.Replicas.dueTrials(Timers.now()))
     Pool.tryConnect(R->entry().At, [this, R](ConnectEnd How) {
       bool Worked = How == ConnectEnd::Opened;
@@ -219,9 +219,9 @@
 
 RequestHandler::~RequestHandler() = default;
 
-/// A request keeps the configuration that it began with, for up to its
-/// deadline. Regions that are no longer allowed are left at once.
-void RequestHandler::Impl::restrictOpen() {
+/// A request keeps the configuration that it began with, up to its deadline,
+/// but regions that are no longer allowed are dropped immediately.
+void RequestHandler::Impl::restrictActiveRequests() {
   for (const JobPtr &J : Jobs) {
     const CallerRequest &R = J->E->request();
     std::string Host = hostOf(headerValue(R.Headers, "Host"));
@@ -232,10 +232,10 @@
 
 void RequestHandler::install(std::shared_ptr<const ServingConfig> Config) {
   I->Config = std::move(Config);
-  I->restrictOpen();
-  I->Admit.install(*I->Config);
+  I->restrictActiveRequests();
+  I->Admission.install(*I->Config);
   I->pollAdmission();
-  // Services that no route names any more have no budget to keep.
+  // Drops the budgets of services that no route uses any more.
   std::erase_if(I->Budgets, [&](const auto &Item) {
     return !I->Config->services().contains(Item.first);
   });
@@ -248,7 +248,7 @@
 void RequestHandler::handle(const ExchangePtr &E) { I->handle(E); }
 
 void RequestHandler::tick() {
-  I->tryResting();
+  I->probeUnavailableReplicas();
   I->Shared.Replicas.expire(I->Timers.now());
   I->Pool.trimIdle(I->Timers.now() - IdleFor);
 }
--- a/packages/front/RequestHandler.h
+++ b/packages/front/RequestHandler.h
@@ -1,9 +1,9 @@
-//===- RequestHandler.h - Callers' requests on their way --------*- C++ -*-===//
+//===- RequestHandler.h - Forwards the requests of callers ------*- C++ -*-===//
 //
-// Joins the decisions of package forward to the connections of package http1:
-// finds the route, starts a ForwardRun, carries out what it asks for, and gives
-// the caller its answer. It logs one line for a request that did not go the
-// usual way and counts all of them.
+// Connects the decisions of package forward with the connections of package
+// http1: finds the route, starts a ForwardRun, performs its sends and returns
+// the answer to the caller. Counts all requests and logs those with an unusual
+// outcome.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_REQUESTHANDLER_H
@@ -29,22 +29,23 @@
   RequestHandler(const RequestHandler &) = delete;
   RequestHandler &operator=(const RequestHandler &) = delete;
 
-  /// Requests that arrive from now on follow \p Config.
+  /// Applies \p Config to requests that arrive from now on.
   void install(std::shared_ptr<const ServingConfig> Config);
   const std::shared_ptr<const ServingConfig> &config() const;
-  /// A caller's request.
+  /// Handles a request from a caller.
   void handle(const ExchangePtr &E);
-  /// Tries resting replicas and forgets what is gone; to be called a few times
-  /// a second.
+  /// Probes unavailable replicas and expires stale entries; call a few times
+  /// per second.
   void tick();
-  /// All kept connections are doubtful: this process was suspended.
+  /// Closes all idle connections, which may be dead after this process was
+  /// suspended.
   void closeIdleConnections();
-  /// Requests that were not answered yet.
+  /// Number of requests without an answer yet.
   std::size_t inFlight() const;
-  /// Requests that came so far.
+  /// Number of requests received.
   std::uint64_t handled() const;
   const UpstreamPoolCounters &connectionCounters() const;
-  /// What is known of requests under which replicas crashed.
+  /// Requests that are known to crash replicas.
   QuarantineGate &quarantine();
 
 private:
--- a/packages/front/RequestHandlerImpl.h
+++ b/packages/front/RequestHandlerImpl.h
@@ -1,8 +1,8 @@
 //===- RequestHandlerImpl.h - The state of a RequestHandler -----*- C++ -*-===//
 //
-// Inside of package front. RequestAdmission.cpp has what comes before a
-// request's first send: whether it may be sent, and when. RequestHandler.cpp
-// has the rest.
+// Internal to package front. RequestAdmission.cpp handles a request before its
+// first send: whether it may be sent, and when. RequestHandler.cpp handles the
+// rest.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_REQUESTHANDLERIMPL_H
@@ -18,7 +18,7 @@
 namespace shallot {
 
 struct RequestHandler::Impl {
-  /// One request on its way.
+  /// A request in progress.
   struct Job {
     Job(ExchangePtr E, ForwardRequest Request, NamedRequest Name)
         : E(std::move(E)), Run(std::move(Request)), Name(std::move(Name)) {}
@@ -26,14 +26,14 @@
     ExchangePtr E;
     ForwardRun Run;
     NamedRequest Name;
-    bool Trial = false;     ///< A trial was granted for it.
-    bool Cleared = false;   ///< That a run ended well was noted.
-    bool Suspected = false; ///< That replicas crashed under it was noted.
-    std::string Head;       ///< Method, target and headers for every send.
-    std::vector<UpstreamPool::CallId> Calls; ///< By send; 0: it has ended.
+    bool Trial = false;           ///< A trial was granted.
+    bool SuccessReported = false; ///< Success was reported to Gate.
+    bool CrashesReported = false; ///< Crashes were reported to Gate.
+    std::string Head; ///< Method, target and headers for every send.
+    std::vector<UpstreamPool::CallId> Calls; ///< By send; 0: ended.
     TimerQueue::Key Timer = 0;
     Instant TimerAt = Instant::max();
-    TicketId Ticket = 0; ///< At the admission; 0: it takes no place there.
+    TicketId Ticket = 0; ///< In Admission; 0: holds no place there.
   };
   using JobPtr = std::shared_ptr<Job>;
 
@@ -49,24 +49,24 @@
 
   void handle(const ExchangePtr &E);
   void refuse(const ExchangePtr &E, const OwnAnswer &A);
-  void vet(const JobPtr &J);
-  void askTrial(const JobPtr &J);
+  void checkQuarantine(const JobPtr &J);
+  void awaitTrial(const JobPtr &J);
   void admit(const JobPtr &J);
   void start(const JobPtr &J);
-  void turnAway(const JobPtr &J, OwnAnswer A);
-  void leave(const JobPtr &J);
+  void reject(const JobPtr &J, OwnAnswer A);
+  void releaseTicket(const JobPtr &J);
   void pollAdmission();
   void apply(const JobPtr &J, RunOutput Out);
   void send(const JobPtr &J, const StartSend &S);
   void sendEnded(const JobPtr &J, unsigned Send, const ReplicaEntry &To,
                  UpstreamReply Reply);
   void replied(const JobPtr &J, unsigned Send, SendResult Result);
-  void noteFailure(const JobPtr &J);
-  void noteTrial(const JobPtr &J);
+  void reportCrashes(const JobPtr &J);
+  void returnUnusedTrial(const JobPtr &J);
   void answer(const JobPtr &J, ForwardAnswer A);
   void schedule(const JobPtr &J);
-  void tryResting();
-  void restrictOpen();
+  void probeUnavailableReplicas();
+  void restrictActiveRequests();
 
   TimerQueue &Timers;
   HeaderNames Names;
@@ -78,9 +78,9 @@
   CrashCheck Crashes;
   QuarantineGate Gate;
   std::shared_ptr<const ServingConfig> Config;
-  RouteAdmission Admit;
+  RouteAdmission Admission;
   TicketId LastTicket = 0;
-  std::unordered_map<TicketId, JobPtr> Waiting; ///< For their turn.
+  std::unordered_map<TicketId, JobPtr> Waiting; ///< For admission.
   TimerQueue::Key AdmissionTimer = 0;
   std::unordered_set<JobPtr> Jobs;
   std::size_t Unanswered = 0;
--- a/packages/front/RequestReading.cpp
+++ b/packages/front/RequestReading.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Duration LongestDeadline = Seconds(300);
+constexpr Duration MaxCallerWait = Seconds(300);
 
-/// Who a caller says it is, where it says so: what a replica may do for one it
-/// may refuse another.
+/// Identifies the caller, if present. It is part of the fingerprint, since a
+/// replica may handle the same request differently for another caller.
 constexpr char CredentialsHeader[] = "Authorization";
 
 } // namespace
@@ -22,7 +22,7 @@
       std::from_chars(Text.data(), Text.data() + Text.size(), Ms);
   if (Error != std::errc() || Ms < 0)
     return std::nullopt;
-  return std::min<Duration>(fromMillisF(Ms), LongestDeadline);
+  return std::min<Duration>(fromMillisF(Ms), MaxCallerWait);
 }
 
 std::string hostOf(std::string_view Value) {
@@ -38,7 +38,7 @@
   HttpHeaders Kept;
   for (const HttpHeader &H : R.Headers) {
     bool Ours = sameHeaderName(H.Name, Names.Deadline) ||
-                sameHeaderName(H.Name, Names.Wanted) ||
+                sameHeaderName(H.Name, Names.TargetReplica) ||
                 sameHeaderName(H.Name, "Expect");
     if (!Ours && !isHopHeader(H.Name, Connection))
       Kept.push_back(H);
--- a/packages/front/RequestReading.h
+++ b/packages/front/RequestReading.h
@@ -1,7 +1,7 @@
-//===- RequestReading.h - What a caller's request says ----------*- C++ -*-===//
+//===- RequestReading.h - Interpretation of caller requests -----*- C++ -*-===//
 //
-// The headers of a caller's request as what they mean, and what of them is
-// passed on. The counterpart of AnswerWriting.h.
+// Parses the headers of a caller's request and selects those that are
+// forwarded. The counterpart of AnswerWriting.h.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_REQUESTREADING_H
@@ -17,18 +17,18 @@
 
 namespace shallot {
 
-/// Milliseconds that the caller waits, 300 s at most; nothing when \p Text is
-/// no such number.
+/// Time that the caller waits, given in milliseconds, 300 s at most. Returns
+/// nothing if \p Text is not such a number.
 std::optional<Duration> readDeadline(std::string_view Text);
 
 /// "search.example" of "Search.Example:80".
 std::string hostOf(std::string_view Value);
 
-/// Method, target and headers as a replica gets them with every send, without
-/// those that this daemon sets itself and those of one connection.
+/// Method, target and headers that are sent to replicas, without hop-by-hop
+/// headers and those that this daemon sets itself.
 std::string forwardedHead(const CallerRequest &R, const HeaderNames &Names);
 
-/// Names an attempt for \p Host on the route \p Route.
+/// Identifies an attempt for \p Host on the route \p Route.
 NamedRequest nameRequest(const CallerRequest &R, std::string_view Host,
                          std::string Route, std::string Id);
 
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -1,9 +1,9 @@
-//===- ServingFeed.h - From the store to the daemon -------------*- C++ -*-===//
+//===- ServingFeed.h - Delivers store objects to the daemon -----*- C++ -*-===//
 //
-// Watches the configuration, the replicas' registrations, the evacuations of
-// zones and the records of requests that crash replicas in the store, directly
-// or through a peer, hands them to a FrontDaemon (StoreEntries.h) and
-// passes them on to peers.
+// Watches the configuration, the registrations of replicas, the evacuations of
+// zones and the quarantine records of requests that crash replicas, in the
+// store or through a peer. Applies them to a FrontDaemon (StoreEntries.h)
+// and serves them to peers.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_SERVINGFEED_H
@@ -19,39 +19,41 @@
 
 namespace shallot {
 
-/// A daemon that watches the store gets an answer for each kind this often;
-/// others depend on it (MaxFeedAge). A connection that fell silent is noticed
-/// after this and the call's timeout, and then the other watches are renewed as
-/// well. Each call costs money.
+/// How long the store holds a watch call without a change. The age of the data
+/// that other daemons rely on (MaxFeedAge) depends on it. A silent connection
+/// is detected after this time plus the timeout of the call; the other watches
+/// are then renewed too. Each call costs money.
 inline constexpr Duration StoreWatchWait = Millis(1500);
 
-/// Changes within this time of one another are fetched together. Replicas
-/// register one by one and update their warm-up time, and each change would be
-/// a call to the store from every region. A leaving replica must get nothing
-/// after 3 s, and each of the three levels of the tree may add this.
-inline constexpr Duration ReplicaPause = Millis(150);
-/// Configurations are few, and a caller may have seen the new one's effect.
-inline constexpr Duration ConfigPause = Millis(30);
+/// Changes within this interval are fetched together. Replicas register
+/// individually and update their warm-up time, and each change would otherwise
+/// be one call to the store from every region. A leaving replica must receive
+/// nothing after 3 s, and each of the three levels of the relay tree may add
+/// this delay.
+inline constexpr Duration ReplicaBatchDelay = Millis(150);
+/// Shorter than for replicas: configuration changes are rare, and a caller may
+/// already depend on the new configuration.
+inline constexpr Duration ConfigBatchDelay = Millis(30);
 
 /// A daemon that has just started waits this long for a peer before it calls
-/// the store. The daemons of a fleet that starts as a whole find each other
-/// within it, and the store is called once for each region, not once for each
+/// the store. The daemons of a fleet that starts as a whole discover each other
+/// within this time, so the store is called once per region instead of once per
 /// daemon.
-inline constexpr Duration FirstPeersWait = Millis(250);
-/// From the first message of a peer until a source is chosen: answers of the
-/// other seeds are on their way.
-inline constexpr Duration PeersSettle = Millis(40);
-
-/// The watch of records of requests that crash replicas. They are few and
-/// change seldom, and each call costs money. That its connection fell silent is
-/// noticed by the other watches and through peers that are ahead.
+inline constexpr Duration FirstPeersTimeout = Millis(250);
+/// Delay from the first message of a peer to the choice of a source, to let
+/// replies from the other seeds arrive.
+inline constexpr Duration PeerSettleTime = Millis(40);
+
+/// Quarantine records are few and change seldom, and each call costs money, so
+/// their watch waits longer. A silent connection is detected by the other
+/// watches and through peers that are ahead.
 inline constexpr Duration QuarantineWatchWait = Seconds(15);
 inline constexpr Duration QuarantineFirstBackoff = Millis(600);
-inline constexpr Duration QuarantineMostBackoff = Seconds(4);
+inline constexpr Duration QuarantineMaxBackoff = Seconds(4);
 
-/// The watch of evacuations. They are few, and one must be known everywhere
-/// within seconds, also when the connection that it comes on has fallen silent:
-/// after this wait the call is made anew.
+/// Evacuations are few, but one must take effect everywhere within seconds,
+/// even if the connection of the watch has gone silent: the call is renewed
+/// after this time.
 inline constexpr Duration EvacuationWatchWait = Millis(2500);
 
 template <typename Store>
@@ -60,24 +62,25 @@
 public:
   ServingFeed(EventLoop &Loop, HttpClient &Http, Store &S, FrontDaemon &D,
               StoreSchema F)
-      : Loop(Loop), D(D), Forms(std::move(F)), Entries(Loop, D, Forms),
-        Configs(Loop, Http, S, D, Forms.ConfigKind, "config",
-                options(ConfigPause), configHooks()),
-        Replicas(Loop, Http, S, D, Forms.ReplicaKind, "replicas",
-                 options(ReplicaPause), replicaHooks()),
-        Records(Loop, Http, S, D, Forms.QuarantineKind, "quarantine",
+      : Loop(Loop), D(D), Schema(std::move(F)), Entries(Loop, D, Schema),
+        Configs(Loop, Http, S, D, Schema.ConfigKind, "config",
+                options(ConfigBatchDelay), configHooks()),
+        Replicas(Loop, Http, S, D, Schema.ReplicaKind, "replicas",
+                 options(ReplicaBatchDelay), replicaHooks()),
+        Records(Loop, Http, S, D, Schema.QuarantineKind, "quarantine",
                 recordOptions(), recordHooks()),
-        Evacuations(Loop, Http, S, D, Forms.EvacuationKind, "evacuations",
+        Evacuations(Loop, Http, S, D, Schema.EvacuationKind, "evacuations",
                     evacuationOptions(), evacuationHooks()),
-        Sync(Loop, S, Forms.QuarantineKind, D.quarantine().table(), D.random()),
+        Sync(Loop, S, Schema.QuarantineKind, D.quarantine().table(),
+             D.random()),
         Server(
             D.timers(), [this](const std::string &Kind) { return view(Kind); },
             [this](const std::string &Kind) { return age(Kind); }) {
-    Followed = {{&Configs, Forms.ConfigKind},
-                {&Replicas, Forms.ReplicaKind},
-                {&Records, Forms.QuarantineKind}};
-    if (!Forms.EvacuationKind.empty())
-      Followed.push_back({&Evacuations, Forms.EvacuationKind});
+    Kinds = {{&Configs, Schema.ConfigKind},
+             {&Replicas, Schema.ReplicaKind},
+             {&Records, Schema.QuarantineKind}};
+    if (!Schema.EvacuationKind.empty())
+      Kinds.push_back({&Evacuations, Schema.EvacuationKind});
   }
 
   void start() {
@@ -91,7 +94,7 @@
         },
         [this] { Sync.pump(); });
     tick();
-    Loop.after(FirstPeersWait, [this] { startOnce(); });
+    Loop.after(FirstPeersTimeout, [this] { startOnce(); });
   }
 
 private:
@@ -99,40 +102,40 @@
 
   struct NamedKind {
     Kind *Objects = nullptr;
-    std::string Name; ///< In the store.
+    std::string Name; ///< Kind name in the store.
   };
 
   void startOnce() {
     if (std::exchange(Started, true))
       return;
-    for (const NamedKind &K : Followed)
+    for (const NamedKind &K : Kinds)
       K.Objects->watch().start();
   }
 
   FeedView view(const std::string &Name) const {
-    for (const NamedKind &K : Followed)
+    for (const NamedKind &K : Kinds)
       if (Name == K.Name)
         return {&K.Objects->watch().cache(), K.Objects->watch().listed()};
     return {};
   }
 
-  /// The calls for the records and the evacuations wait for long; that the
-  /// store answers the others proves as much.
+  /// The watch calls for quarantine records and evacuations wait long; replies
+  /// of the store to the other two watches prove freshness as well.
   Duration age(const std::string &Name) const {
     Instant Config = Configs.watch().heardAt();
     Instant Replica = Replicas.watch().heardAt();
-    if (Name == Forms.ConfigKind)
+    if (Name == Schema.ConfigKind)
       return Loop.now() - Config;
-    if (Name == Forms.ReplicaKind)
+    if (Name == Schema.ReplicaKind)
       return Loop.now() - Replica;
-    const Kind &Other = Name == Forms.EvacuationKind ? Evacuations : Records;
+    const Kind &Other = Name == Schema.EvacuationKind ? Evacuations : Records;
     return Loop.now() -
            std::max(Other.watch().heardAt(), std::min(Config, Replica));
   }
 
   void tick() {
     Server.tick();
-    D.fleet().announce(readState());
+    D.fleet().announce(readRevisions());
     if (++Ticks % CompareEvery == 0)
       compareWithPeers();
     if (Ticks % SyncEvery == 0)
@@ -140,38 +143,43 @@
     Loop.after(FeedTick, [this] { tick(); });
   }
 
-  ReadState readState() const {
+  ReadRevisions readRevisions() const {
     return {D.configVersion(), Replicas.watch().cache().lastChange(),
             Records.watch().cache().lastChange(),
             Evacuations.watch().cache().lastChange()};
   }
 
   void compareWithPeers() {
-    ReadState Mine = readState();
-    // Until the configuration was listed nobody is behind.
-    ReadState Most =
-        Configs.watch().listed() ? D.fleet().furthest() : ReadState();
+    ReadRevisions Mine = readRevisions();
+    // Before the configuration has been listed, this daemon is not considered
+    // behind.
+    ReadRevisions Most = Configs.watch().listed()
+                             ? D.fleet().newestPeerRevisions()
+                             : ReadRevisions();
     Duration Period = FeedTick * CompareEvery;
-    Configs.compare(Mine, Most, &ReadState::ConfigVersion, false, Period);
-    Replicas.compare(Mine, Most, &ReadState::ReplicaRevision, true, Period);
-    Records.compare(Mine, Most, &ReadState::QuarantineRevision, true, Period);
-    if (!Forms.EvacuationKind.empty())
-      Evacuations.compare(Mine, Most, &ReadState::EvacuationRevision, true,
-                          Period);
+    Configs.switchIfBehind(Mine, Most, &ReadRevisions::ConfigVersion, false,
+                           Period);
+    Replicas.switchIfBehind(Mine, Most, &ReadRevisions::ReplicaRevision, true,
+                            Period);
+    Records.switchIfBehind(Mine, Most, &ReadRevisions::QuarantineRevision, true,
+                           Period);
+    if (!Schema.EvacuationKind.empty())
+      Evacuations.switchIfBehind(Mine, Most, &ReadRevisions::EvacuationRevision,
+                                 true, Period);
   }
 
   void fleetChanged() {
     if (!Started && D.view().Members.size() > 1)
-      Loop.after(PeersSettle, [this] { startOnce(); });
-    for (const NamedKind &K : Followed)
+      Loop.after(PeerSettleTime, [this] { startOnce(); });
+    for (const NamedKind &K : Kinds)
       K.Objects->fleetChanged();
     Sync.setMembers(D.view().Members.size());
   }
 
-  /// How often peers that wait are looked at.
+  /// Interval at which pending requests of peers are checked.
   static constexpr Duration FeedTick = Millis(100);
-  /// Ticks from one comparison with the peers to the next: each copies the
-  /// revisions of every member.
+  /// Ticks between comparisons with the peers; each copies the revisions of
+  /// every member.
   static constexpr unsigned CompareEvery = 2;
   static constexpr unsigned SyncEvery = QuarantineTick / FeedTick;
 
@@ -186,7 +194,7 @@
     KindWatchOptions O;
     O.Wait = QuarantineWatchWait;
     O.FirstBackoff = QuarantineFirstBackoff;
-    O.MostBackoff = QuarantineMostBackoff;
+    O.MostBackoff = QuarantineMaxBackoff;
     return O;
   }
 
@@ -200,86 +208,88 @@
     KindWatchHooks H;
     H.All = [this](const std::vector<KindObject> &Now) {
       for (const KindObject &O : Now)
-        Entries.takeConfig(O);
+        Entries.applyConfig(O);
     };
     H.Changed = [this](const KindChange &C) {
       if (!C.Removed)
-        Entries.takeConfig(C.Object);
+        Entries.applyConfig(C.Object);
     };
     H.Away = [this](const Error &Why) {
-      logAway("config", Why);
-      Replicas.doubt();
-      doubtQuiet();
+      logStoreLost("config", Why);
+      Replicas.renewIfSilent();
+      renewSilentLongPolls();
     };
     H.Back = [this] {
-      logBack("config");
-      storeIsBack();
+      logStoreRegained("config");
+      renewFailedWatches();
     };
-    H.Advanced = [this] { Server.advanced(Forms.ConfigKind); };
+    H.Advanced = [this] { Server.advanced(Schema.ConfigKind); };
     return H;
   }
 
   KindWatchHooks replicaHooks() {
     KindWatchHooks H;
     H.All = [this](const std::vector<KindObject> &Now) {
-      Entries.listReplicas(Now, Replicas.watch().revision());
+      Entries.applyReplicaList(Now, Replicas.watch().revision());
     };
-    H.Changed = [this](const KindChange &C) { Entries.takeReplica(C); };
+    H.Changed = [this](const KindChange &C) { Entries.applyReplica(C); };
     H.Away = [this](const Error &Why) {
-      logAway("replicas", Why);
+      logStoreLost("replicas", Why);
       D.replicas().storeAway();
-      doubtQuiet();
+      renewSilentLongPolls();
     };
     H.Back = [this] {
-      logBack("replicas");
+      logStoreRegained("replicas");
       D.replicas().storeBack(Loop.now());
-      storeIsBack();
+      renewFailedWatches();
     };
-    H.Advanced = [this] { Server.advanced(Forms.ReplicaKind); };
+    H.Advanced = [this] { Server.advanced(Schema.ReplicaKind); };
     return H;
   }
 
   KindWatchHooks recordHooks() {
     KindWatchHooks H;
-    H.All = [this](const std::vector<KindObject> &Now) { takeRecords(Now); };
-    H.Changed = [this](const KindChange &C) { takeRecord(C); };
-    H.Away = [](const Error &Why) { logAway("quarantine", Why); };
+    H.All = [this](const std::vector<KindObject> &Now) {
+      applyRecordList(Now);
+    };
+    H.Changed = [this](const KindChange &C) { applyRecord(C); };
+    H.Away = [](const Error &Why) { logStoreLost("quarantine", Why); };
     H.Back = [this] {
-      logBack("quarantine");
+      logStoreRegained("quarantine");
       Sync.pump();
     };
-    H.Advanced = [this] { Server.advanced(Forms.QuarantineKind); };
+    H.Advanced = [this] { Server.advanced(Schema.QuarantineKind); };
     return H;
   }
 
   KindWatchHooks evacuationHooks() {
     KindWatchHooks H;
     H.All = [this](const std::vector<KindObject> &Now) {
-      Entries.listEvacuations(Now, Evacuations.watch().revision());
+      Entries.applyEvacuationList(Now, Evacuations.watch().revision());
     };
-    H.Changed = [this](const KindChange &C) { Entries.takeEvacuation(C); };
-    H.Away = [](const Error &Why) { logAway("evacuations", Why); };
-    H.Back = [] { logBack("evacuations"); };
-    H.Advanced = [this] { Server.advanced(Forms.EvacuationKind); };
+    H.Changed = [this](const KindChange &C) { Entries.applyEvacuation(C); };
+    H.Away = [](const Error &Why) { logStoreLost("evacuations", Why); };
+    H.Back = [] { logStoreRegained("evacuations"); };
+    H.Advanced = [this] { Server.advanced(Schema.EvacuationKind); };
     return H;
   }
 
-  /// Watches whose calls wait for long may hang on what another watch has just
-  /// lost.
-  void doubtQuiet() {
-    Records.doubt();
-    if (!Forms.EvacuationKind.empty())
-      Evacuations.doubt();
+  /// Renews watches with long-waiting calls, which may hang on the connection
+  /// that another watch has just lost.
+  void renewSilentLongPolls() {
+    Records.renewIfSilent();
+    if (!Schema.EvacuationKind.empty())
+      Evacuations.renewIfSilent();
   }
 
-  /// The own next try of a watch that failed may be seconds away.
-  void storeIsBack() {
+  /// Renews watches that failed: their own next attempt may be seconds away.
+  void renewFailedWatches() {
     for (Kind *K : {&Records, &Evacuations})
       if (!K->watch().storeAnswers())
         K->watch().renew();
   }
 
-  void takeRecords(const std::vector<KindObject> &Now) {
+  void applyRecordList(const std::vector<KindObject> &Now) {
     std::vector<SharedRecord> All;
     for (const KindObject &O : Now)
       if (auto R = QuarantineSync<Store, EventLoop>::readShared(O))
@@ -291,7 +301,7 @@
     Sync.pump();
   }
 
-  void takeRecord(const KindChange &C) {
+  void applyRecord(const KindChange &C) {
     Quarantine &Table = D.quarantine().table();
     auto Name =
         attempt([&] { return RequestFingerprint::parse(C.Object.Name); });
@@ -307,29 +317,29 @@
                 {"revision", std::to_string(C.Object.Revision)}});
   }
 
-  static void logAway(std::string_view What, const Error &Why) {
+  static void logStoreLost(std::string_view What, const Error &Why) {
     logEvent(LogLevel::Warn, "store_lost",
              {{"watch", std::string(What)},
               {"code", codeLabel(Why.Code)},
               {"why", Why.Detail}});
   }
 
-  static void logBack(std::string_view What) {
+  static void logStoreRegained(std::string_view What) {
     logEvent(LogLevel::Info, "store_regained", {{"watch", std::string(What)}});
   }
 
   EventLoop &Loop;
   FrontDaemon &D;
-  StoreSchema Forms;
+  StoreSchema Schema;
   StoreObjectApplier Entries;
   Kind Configs;
   Kind Replicas;
   Kind Records;
-  Kind Evacuations; ///< Not started where there are none.
-  std::vector<NamedKind> Followed;
+  Kind Evacuations; ///< Not started where zones are not evacuated.
+  std::vector<NamedKind> Kinds;
   QuarantineSync<Store, EventLoop> Sync;
   FeedServer Server;
-  bool Started = false; ///< Something was asked for.
+  bool Started = false; ///< The watches have been started.
   unsigned Ticks = 0;
 };
 
--- a/packages/front/StoreEntries.cpp
+++ b/packages/front/StoreEntries.cpp
@@ -5,11 +5,11 @@
 
 namespace {
 
-/// A name of another writer may be as long as it likes.
-constexpr std::size_t MostLoggedName = 80;
+/// Names written by other clients of the store can be of any length.
+constexpr std::size_t MaxLoggedName = 80;
 
 std::string loggedName(const KindObject &O) {
-  return O.Name.substr(0, MostLoggedName);
+  return O.Name.substr(0, MaxLoggedName);
 }
 
 void logUnreadable(const KindObject &O, const Error &Why) {
@@ -22,10 +22,10 @@
 
 } // namespace
 
-void StoreObjectApplier::takeConfig(const KindObject &O) {
-  if (O.Name != Forms.ConfigName)
+void StoreObjectApplier::applyConfig(const KindObject &O) {
+  if (O.Name != Schema.ConfigName)
     return;
-  auto C = attempt([&] { return Forms.ReadConfig(O); });
+  auto C = attempt([&] { return Schema.ReadConfig(O); });
   if (C)
     D.install(std::move(*C));
   else
@@ -34,15 +34,15 @@
 
 std::optional<ReplicaEntry>
 StoreObjectApplier::read(const KindObject &O) const {
-  auto E = attempt([&] { return Forms.ReadReplica(O); });
+  auto E = attempt([&] { return Schema.ReadReplica(O); });
   if (E)
     return std::move(*E);
   logUnreadable(O, E.error());
   return std::nullopt;
 }
 
-void StoreObjectApplier::listReplicas(const std::vector<KindObject> &Now,
-                                      std::uint64_t Revision) {
+void StoreObjectApplier::applyReplicaList(const std::vector<KindObject> &Now,
+                                          std::uint64_t Revision) {
   std::vector<ReplicaEntry> Entries;
   for (const KindObject &O : Now)
     if (auto E = read(O))
@@ -54,7 +54,7 @@
   D.replicasListed();
 }
 
-void StoreObjectApplier::takeReplica(const KindChange &C) {
+void StoreObjectApplier::applyReplica(const KindChange &C) {
   if (C.Removed) {
     logEvent(LogLevel::Info, "replica_vanished",
              {{"replica", C.Object.Name},
@@ -64,7 +64,7 @@
   }
   auto E = read(C.Object);
   if (!E) {
-    // As in a list: an entry that cannot be read names no replica.
+    // As in a list, an entry that cannot be decoded names no replica.
     D.replicas().remove(UpstreamId(C.Object.Name), Loop.now());
     return;
   }
@@ -78,8 +78,8 @@
   D.replicas().put(std::move(*E), Loop.now());
 }
 
-void StoreObjectApplier::listEvacuations(const std::vector<KindObject> &Now,
-                                         std::uint64_t Revision) {
+void StoreObjectApplier::applyEvacuationList(const std::vector<KindObject> &Now,
+                                             std::uint64_t Revision) {
   Evacuated.clear();
   for (const KindObject &O : Now)
     Evacuated.insert(AvailabilityZone(O.Name));
@@ -89,7 +89,7 @@
   D.evacuate(Evacuated);
 }
 
-void StoreObjectApplier::takeEvacuation(const KindChange &C) {
+void StoreObjectApplier::applyEvacuation(const KindChange &C) {
   AvailabilityZone Zone(C.Object.Name);
   bool Known = D.settings().Zones.contains(Zone);
   logEvent(Known ? LogLevel::Info : LogLevel::Warn,
--- a/packages/front/StoreEntries.h
+++ b/packages/front/StoreEntries.h
@@ -1,10 +1,10 @@
-//===- StoreEntries.h - Store objects to daemon -----------------*- C++ -*-===//
+//===- StoreEntries.h - Applies store objects -------------------*- C++ -*-===//
 //
-// Reads the objects that the store's watches deliver and hands them to a
-// FrontDaemon: configurations, replicas' registrations and evacuations. What
-// the objects look like is the deployment's: it gives the functions that read
-// them. An object that cannot be read is logged and left out; the configuration
-// in force stays.
+// Decodes the objects that the store watches deliver and applies them to a
+// FrontDaemon: configurations, registrations of replicas and evacuations. The
+// deployment defines the format and supplies the decoding functions. An object
+// that cannot be decoded is logged and skipped; the configuration in force
+// stays.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_STOREENTRIES_H
@@ -22,10 +22,10 @@
 
 struct StoreSchema {
   std::string ConfigKind;
-  std::string ConfigName; ///< The one object of that kind that counts.
+  std::string ConfigName; ///< The only object of that kind in use.
   std::string ReplicaKind;
-  std::string QuarantineKind; ///< Of our own.
-  /// Objects named after zones; empty where zones are not evacuated.
+  std::string QuarantineKind; ///< Defined by this project.
+  /// Objects are named after zones; empty where zones are not evacuated.
   std::string EvacuationKind;
   std::function<Result<ServingConfig>(const KindObject &)> ReadConfig;
   std::function<Result<ReplicaEntry>(const KindObject &)> ReadReplica;
@@ -33,25 +33,26 @@
 
 class StoreObjectApplier {
 public:
-  StoreObjectApplier(EventLoop &Loop, FrontDaemon &D, const StoreSchema &Forms)
-      : Loop(Loop), D(D), Forms(Forms) {}
-
-  /// Installs \p O if it is the configuration that counts.
-  void takeConfig(const KindObject &O);
-  /// All registrations, as the store listed them at \p Revision.
-  void listReplicas(const std::vector<KindObject> &Now, std::uint64_t Revision);
-  void takeReplica(const KindChange &C);
-  /// All evacuations, as the store listed them at \p Revision.
-  void listEvacuations(const std::vector<KindObject> &Now,
-                       std::uint64_t Revision);
-  void takeEvacuation(const KindChange &C);
+  StoreObjectApplier(EventLoop &Loop, FrontDaemon &D, const StoreSchema &Schema)
+      : Loop(Loop), D(D), Schema(Schema) {}
+
+  /// Installs \p O if it is the configuration in use.
+  void applyConfig(const KindObject &O);
+  /// Replaces all replicas with the registrations listed at \p Revision.
+  void applyReplicaList(const std::vector<KindObject> &Now,
+                        std::uint64_t Revision);
+  void applyReplica(const KindChange &C);
+  /// Replaces all evacuations with those listed at \p Revision.
+  void applyEvacuationList(const std::vector<KindObject> &Now,
+                           std::uint64_t Revision);
+  void applyEvacuation(const KindChange &C);
 
 private:
   std::optional<ReplicaEntry> read(const KindObject &O) const;
 
   EventLoop &Loop;
   FrontDaemon &D;
-  const StoreSchema &Forms;
+  const StoreSchema &Schema;
   std::set<AvailabilityZone> Evacuated;
 };
 
--- a/packages/front/include/shallotshift/front.h
+++ b/packages/front/include/shallotshift/front.h
@@ -1,9 +1,9 @@
-//===- shallotshift/front.h - A daemon that forwards ------------*- C++ -*-===//
+//===- shallotshift/front.h - Request-forwarding daemon ---------*- C++ -*-===//
 //
-// The public header of package front: its settings (FrontSettings.h), the
-// daemon (FrontDaemon.h), what a deployment calls its headers (HeaderNames.h)
-// and how the store's objects reach the daemon (ServingFeed.h), through
-// peers where that saves calls (FeedSources.h, RelayedStore.h, FeedServer.h,
+// Public header of package front: settings (FrontSettings.h), the daemon
+// (FrontDaemon.h), the header names of a deployment (HeaderNames.h) and the
+// delivery of store objects to the daemon (ServingFeed.h), relayed by peers to
+// save calls to the store (FeedSources.h, RelayedStore.h, FeedServer.h,
 // CatchUp.h).
 //
 //===----------------------------------------------------------------------===//
--- a/tests/correctness/EntryAddressesForCallers.cpp
+++ b/tests/correctness/EntryAddressesForCallers.cpp
@@ -1,5 +1,5 @@
-// Where callers are sent: to the carriers of their zone, and elsewhere only
-// when their zone has none.
+// Checks that callers are sent to the carriers of their zone, and to other
+// zones only when their zone has none.
 #include "shallotshift/front.h"
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ViewFixture, "few equal hosts of the zone all serve") {
+TEST_CASE_FIXTURE(ViewFixture, "a few equal hosts in a zone all serve") {
   Endpoint A = add("z1", "r", 250), B = add("z1", "r", 250);
   Endpoint C = add("z1", "r", 250);
   add("z2", "r", 250);
@@ -48,18 +48,20 @@
 }
 
 TEST_CASE_FIXTURE(ViewFixture,
-                  "one large host alone does not carry many small") {
+                  "one large host does not replace many small ones") {
   Endpoint Big = add("z1", "r", 1000);
   for (int I = 0; I < 20; ++I)
     add("z1", "r", 250);
   List Found = ask("z1", "r");
-  // Each named host gets the same share of the callers, so it takes five to
-  // hold what the large one and a small one are first taken to carry.
+  // Each returned host gets the same share of the callers, so five hosts are
+  // needed for the load that is initially assumed for the large host and one
+  // small one.
   CHECK(Found.size() == 5);
   CHECK(Found.front() == Big);
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "without large ones the small ones serve") {
+TEST_CASE_FIXTURE(ViewFixture,
+                  "small hosts serve when no large one is available") {
   add("z1", "r", 500, MemberState::Failed);
   add("z1", "r", 500, MemberState::Leaving);
   Endpoint Small = add("z1", "r", 120);
@@ -75,24 +77,27 @@
   CHECK(ask("", "") == List{Far, Near});
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "suspects serve only when nobody else does") {
+TEST_CASE_FIXTURE(
+    ViewFixture,
+    "suspected daemons are returned only when no other is available") {
   Endpoint Doubtful = add("z1", "r", 250, MemberState::Suspect);
   CHECK(ask("z1", "r") == List{Doubtful});
   Endpoint Far = add("z3", "q", 250);
   CHECK(ask("z1", "r") == List{Far});
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "no answer names more than callers use") {
+TEST_CASE_FIXTURE(ViewFixture,
+                  "a reply has no more addresses than callers use") {
   for (int I = 0; I < 100; ++I)
     add("z1", "r", 100);
   for (Member &M : View.Members)
-    M.Load = 90; // All are needed.
+    M.Load = 90; // All hosts are needed.
   CHECK(ask("z1", "r").size() == MaxEntryAddresses);
   CHECK(ask("z1", "q").size() == MaxEntryAddresses);
 }
 
-TEST_CASE_FIXTURE(
-    ViewFixture, "connections and most retries are shared by those who carry") {
+TEST_CASE_FIXTURE(ViewFixture,
+                  "connections and most retries are shared by carriers") {
   for (const char *Zone : {"z1", "z2"}) {
     add(Zone, "r", 500);
     add(Zone, "r", 500);
@@ -101,41 +106,45 @@
   }
   add("z3", "q", 500);
   Sharing S = sharingAmongCarriers(View, HostId("h1"), Region("r"));
-  // Four fifths of the retries for five carriers, the rest for the 16 others.
+  // Four fifths of the retries are for the five carriers, the rest for the
+  // other 16.
   CHECK(S == Sharing{4, 1, 0.8 / 5});
   HostId Other("h3");
   CHECK(sharingAmongCarriers(View, Other, Region("r")).RetryPart == 0.2 / 16);
   CHECK(equalRetryPart(View, Other) == 1.0 / 21);
-  // 63 connections: 9 for each of four carriers, where twenty get one each.
+  // 63 connections: 9 for each of four carriers; with twenty carriers, one
+  // each.
   CHECK(connectionShare(63, Distance::SameZone, S) == 9);
   CHECK(connectionShare(63, Distance::SameZone, {20, 1, 1}) == 1);
 }
 
-TEST_CASE_FIXTURE(ViewFixture,
-                  "small hosts take over the shares of large ones that went") {
+TEST_CASE_FIXTURE(
+    ViewFixture,
+    "small hosts take over the shares of large hosts that are gone") {
   add("z1", "r", 500, MemberState::Failed);
   add("z1", "r", 500, MemberState::Leaving);
   for (int I = 0; I < 3; ++I)
     add("z1", "r", 120);
-  // The one that is leaving still holds its connections.
+  // The leaving host still holds its connections.
   CHECK(sharingAmongCarriers(View, HostId("h3"), Region("r")) ==
         Sharing{4, 0, 1.0 / 4});
-  // Whoever asks counts, even if no caller is sent to it.
+  // The requesting daemon is counted even if it gets no callers.
   add("z1", "r", 500);
   add("z1", "r", 500);
   CHECK(sharingAmongCarriers(View, HostId("h3"), Region("r")) ==
         Sharing{4, 0, 0.2 / 3});
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "a region without daemons is sent to one where "
-                               "its requests may be served") {
+TEST_CASE_FIXTURE(ViewFixture, "callers in a region without daemons are sent "
+                               "to an allowed region") {
   Endpoint Allowed = add("z1", "r1", 250);
   Endpoint Other = add("z2", "r2", 250);
   Place Caller{AvailabilityZone("z3"), Region("r3")};
   auto In = [](const char *R) { return AllowedRegions::only({Region(R)}); };
   CHECK(entryAddresses(View, Caller, In("r1")) == List{Allowed});
   CHECK(entryAddresses(View, Caller, In("r2")) == List{Other});
-  // No daemon is left there: any of them sends to allowed replicas only.
+  // No daemon is left in that region. Any daemon forwards to allowed replicas
+  // only.
   CHECK(entryAddresses(View, Caller, In("r4")) == List{Allowed, Other});
   Place InThird{AvailabilityZone("z2"), Region("r2")};
   CHECK(entryAddresses(View, InThird, In("r1")) == List{Other});
--- a/tests/correctness/FeedWordsSurviveTheWire.cpp
+++ b/tests/correctness/FeedWordsSurviveTheWire.cpp
@@ -1,4 +1,5 @@
-// What one daemon tells another of the store arrives as it was.
+// Checks that feed requests and replies between daemons are decoded as they
+// were encoded.
 #include "shallotshift/front.h"
 
 #include <doctest/doctest.h>
@@ -18,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a page and changes are read as they were written") {
+TEST_CASE("a page and changes are decoded as encoded") {
   KindPage P{{Some, {"m", 18, "text"}}, true, 40, Millis(12)};
   auto Page = readPage(reply(200, writePage(P)));
   REQUIRE_MESSAGE(Page, Page.error().Detail);
@@ -37,7 +38,7 @@
   CHECK(Changes->Revision == 41);
 }
 
-TEST_CASE("the age beside a body goes before the one in it") {
+TEST_CASE("the age in the header overrides the age in the body") {
   HttpReply R = reply(200, writeChanges({{}, 41, Millis(3)}));
   R.Headers = {ageHeader(Millis(250))};
   CHECK(readChanges(R)->Age == Millis(251));
@@ -47,7 +48,7 @@
   }
 }
 
-TEST_CASE("an answer is made once for those who ask the same") {
+TEST_CASE("identical requests share one reply") {
   FeedReplyCache Answers;
   Instant Now{Seconds(50)};
   unsigned Made = 0;
@@ -69,7 +70,7 @@
   CHECK(Answers.size() == 1);
 }
 
-TEST_CASE("a small answer goes out as it is") {
+TEST_CASE("a small reply is not deflated") {
   FeedReplyCache Answers;
   ServerReply R = Answers.reply({"config", {}, 4, 7}, Instant(),
                                 [] { return std::string("{}"); });
@@ -77,7 +78,7 @@
   CHECK(R.Headers.empty());
 }
 
-TEST_CASE("the answers that are kept are bounded") {
+TEST_CASE("the number of cached replies is bounded") {
   FeedReplyCache Answers;
   for (std::uint64_t Since = 0; Since < 5 * FeedReplyCache::MaxEntries; ++Since)
     Answers.reply({"config", {}, Since, 900}, Instant(),
@@ -85,7 +86,7 @@
   CHECK(Answers.size() == FeedReplyCache::MaxEntries);
 }
 
-TEST_CASE("what is no answer is an error, never an empty list") {
+TEST_CASE("an invalid reply is an error, never an empty list") {
   CHECK(readPage(reply(200, "{}")).error().Code == ResultCode::PeerBadMessage);
   CHECK(readPage(reply(200, "nonsense")).error().Code ==
         ResultCode::PeerBadMessage);
@@ -97,7 +98,7 @@
   CHECK(readChanges(Lost).error().Code == ResultCode::PeerUnreachable);
 }
 
-TEST_CASE("questions survive their way as a path and a query") {
+TEST_CASE("requests are decoded from path and query as encoded") {
   FeedRequest List{"servers", "i-7", std::nullopt, Millis(300)};
   FeedRequest Watch{"config", "", 41, Millis(1500)};
   FeedRequest Relay{"config", "", 41, Millis(1500), true};
--- a/tests/correctness/FrontServesADeployment.cpp
+++ b/tests/correctness/FrontServesADeployment.cpp
@@ -1,6 +1,6 @@
-// A whole daemon among stand-ins, in the deployment's wire form: searches are
-// merged, actions forwarded as they came, changes taken up, a stop cuts off
-// nobody.
+// Runs a whole daemon against stand-ins that use the wire format of the
+// deployment: searches are merged, actions are forwarded unchanged,
+// configuration changes are applied, and a shutdown cuts off no request.
 #include "FrontFixture.h"
 
 #include <doctest/doctest.h>
@@ -27,8 +27,7 @@
   CHECK(Left > 600);
 }
 
-TEST_CASE_FIXTURE(FrontFixture,
-                  "a shard that fails is missing, and said to be") {
+TEST_CASE_FIXTURE(FrontFixture, "a failed shard is reported as missing") {
   Two.Instead = [](const WireConnectionPtr &C, const WireRequest &) {
     WireReply R;
     R.Status = 500;
@@ -45,7 +44,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "an action goes as it came and its reply comes as it is") {
+                  "an action and its reply are forwarded unchanged") {
   start();
   HttpReply R = get("/p/book", "q-2", "POST", "lane 4");
   CHECK(R.Status == 200);
@@ -56,7 +55,7 @@
   CHECK(Pay.Seen[0].Body == "lane 4");
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "refusals are honest") {
+TEST_CASE_FIXTURE(FrontFixture, "refusals have the right status") {
   start();
   CHECK(get("/none").Status == 404);
   Pay.announce("draining");
@@ -68,7 +67,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "an address that another replica has is not run there") {
+                  "a request is not run by another replica at the address") {
   start();
   nlohmann::json Moved = Pay.registration("ready");
   Moved["address"] = One.shape().At.str();
@@ -76,10 +75,11 @@
   runFor(Millis(100));
   HttpReply R = get("/p/book", "q-4", "POST", "lane 4");
   CHECK(R.Status == 503);
-  CHECK(One.Seen.size() >= 1); // It said 421, which is not a run.
+  CHECK(One.Seen.size() >= 1); // It replied 421, so it did not run it.
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "a change is in force, an older one never") {
+TEST_CASE_FIXTURE(FrontFixture,
+                  "a newer configuration is applied, an older one never") {
   start();
   Store.put("config", "main", config(9, 1.0));
   runFor(Millis(200));
@@ -96,7 +96,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "an outage of the store changes nothing for callers") {
+                  "an outage of the store does not affect callers") {
   start();
   Store.setFaults({.Mode = StoreMode::Busy});
   runFor(Seconds(3));
@@ -107,7 +107,8 @@
   CHECK(Daemon->configVersion() == 12);
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "the directory, readiness and metrics answer") {
+TEST_CASE_FIXTURE(FrontFixture,
+                  "directory, readiness and metrics endpoints respond") {
   start();
   HttpReply R = ask(Set.Directory, "/resolve?name=a.example&region=r&zone=z");
   CHECK(R.Status == 200);
@@ -119,7 +120,7 @@
                     "outcome=\"complete\"} 1") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "a stop answers what was read and then ends") {
+TEST_CASE_FIXTURE(FrontFixture, "a shutdown answers requests that were read") {
   start();
   Pay.Instead = [this](const WireConnectionPtr &C, const WireRequest &) {
     Loop.after(Millis(400), [C] {
@@ -144,7 +145,7 @@
   Daemon->requestStop([&] { Gone = true; });
   CHECK(ask(Set.Readiness, "/readiness").Status == 503);
   CHECK(ask(Set.Directory, "/resolve?zone=z").Status == 503);
-  // Callers that still have the address are served.
+  // Callers that still have the address cached are served.
   CHECK(get("/x/1").Status == 200);
   runUntil([&] { return Gone; });
   REQUIRE(Got);
@@ -153,7 +154,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "a caller that leaves ends its replicas' work") {
+                  "a caller that disconnects cancels the work of replicas") {
   start();
   WireConnectionPtr Held;
   Two.Instead = [&](const WireConnectionPtr &C, const WireRequest &) {
@@ -168,7 +169,7 @@
   runUntil([&] { return Held != nullptr; });
   Http.cancel(Id);
   runFor(Millis(450));
-  CHECK_FALSE(Held->open()); // Its replica stops working on it.
+  CHECK_FALSE(Held->open()); // The replica stops working on it.
   HttpReply Page = ask(Set.Metrics, "/metrics");
   CHECK(Page.Body.find("shallot_forward_gone_total 1") != std::string::npos);
   CHECK(Page.Body.find("shallot_in_flight 0") != std::string::npos);
--- a/tests/correctness/WireObjectsAreRead.cpp
+++ b/tests/correctness/WireObjectsAreRead.cpp
@@ -1,5 +1,5 @@
-// The deployment's objects become the product's types; what is missing or wrong
-// is named, and what is new on their side is ignored.
+// Checks that store objects of the deployment are decoded, that errors name the
+// missing or invalid field, and that unknown fields are ignored.
 #include "platform/WireDirectory.h"
 #include "platform/WireObjects.h"
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("each form of a route is read") {
+TEST_CASE("every kind of route is decoded") {
   auto C = readConfig(configDoc());
   REQUIRE_MESSAGE(C, C.error().Detail);
   CHECK(C->version() == 7);
@@ -62,13 +62,13 @@
   CHECK(C->services().at(ServiceName("p")).MaxConnections == 96);
 }
 
-TEST_CASE("a kind that is not known may not be repeated") {
+TEST_CASE("requests of an unknown kind are not repeated") {
   auto C = readConfig(configDoc());
   REQUIRE(C);
   CHECK(C->match("c.example", "/")->Kind == Repetition::AtMostOnce);
 }
 
-TEST_CASE("a configuration with a hole is refused") {
+TEST_CASE("a configuration with a missing field is refused") {
   for (const char *Key : {"version", "routes", "services", "limits"}) {
     nlohmann::json Doc = configDoc();
     Doc.erase(Key);
@@ -81,7 +81,7 @@
   CHECK(readConfig(Doc).error().Code == ResultCode::WrongType);
 }
 
-TEST_CASE("a registration is read, and its zone's region found") {
+TEST_CASE("a registration is decoded with the region of its zone") {
   const std::string Ready =
       R"({"service": "s1", "address": "10.0.0.9:80", "zone": "z", "slots": 2,
           "state": "ready", "warmup_left_ms": 1500, "sequence": 4,
@@ -99,7 +99,7 @@
   CHECK(readReplica("{}").error().Code == ResultCode::MissingField);
 }
 
-TEST_CASE("the directory's question and answer") {
+TEST_CASE("a directory lookup is decoded and its reply encoded") {
   EntryQuery Q =
       wire::parseEntryQuery("name=a.example&region=sv%65aland&zone=hall+1");
   CHECK(Q.Caller.Reg == Region("svealand"));
--- a/tests/error/FrontSettingsAreChecked.cpp
+++ b/tests/error/FrontSettingsAreChecked.cpp
@@ -1,4 +1,5 @@
-// A settings file with a mistake is refused, and the field is named.
+// Checks that an invalid settings file is refused with an error that names the
+// field.
 #include "shallotshift/front.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a good file is read whole") {
+TEST_CASE("a valid file is read completely") {
   auto S = attempt([&] { return FrontSettings::parse(good().dump()); });
   REQUIRE_MESSAGE(S, S.error().Detail);
   CHECK(S->Host == HostId("front-1"));
@@ -36,7 +37,7 @@
   CHECK(S->Retries == RetryAllowance{0.2, 52, Seconds(10)});
 }
 
-TEST_CASE("each field is needed, and named when it is missing") {
+TEST_CASE("every field is required and named when missing") {
   const nlohmann::json Whole = good();
   for (auto At = Whole.begin(); At != Whole.end(); ++At) {
     const std::string &Key = At.key();
@@ -48,7 +49,7 @@
   }
 }
 
-TEST_CASE("wrong types, ranges and fields are named") {
+TEST_CASE("errors name fields with a wrong type or range and unknown fields") {
   const std::vector<std::pair<nlohmann::json, ResultCode>> Changes = {
       {{{"callers", "10.0.0.1"}}, ResultCode::OutOfRange},
       {{{"seeds", {7}}}, ResultCode::WrongType},
--- a/tests/failure/ColdReplicasAreSpared.cpp
+++ b/tests/failure/ColdReplicasAreSpared.cpp
@@ -1,5 +1,5 @@
-// Guards against a replica that has just started being crashed by more requests
-// than it takes while it is cold.
+// Guards against crashing a replica that has just started by sending it more
+// requests than it tolerates while it is cold.
 #include "FrontFixture.h"
 
 #include <doctest/doctest.h>
@@ -11,8 +11,8 @@
 namespace {
 
 struct ColdReplica : FrontFixture {
-  /// Registers Pay as cold for \p Ms, with a service that tolerates
-  /// \p PerSecond requests then.
+  /// Registers Pay as cold for \p Ms; its service tolerates \p PerSecond
+  /// requests per second meanwhile.
   void makeCold(unsigned Ms, double PerSecond) {
     nlohmann::json C = config(8);
     for (nlohmann::json &S : C["services"])
@@ -23,7 +23,7 @@
     Store.put("servers", Pay.id(), Entry);
   }
 
-  /// Sends \p Count requests, one after another; how many were served.
+  /// Sends \p Count requests one after another; returns how many were served.
   int served(int Count) {
     int Served = 0;
     for (int I = 0; I < Count; ++I)
@@ -35,9 +35,10 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ColdReplica, "a cold replica gets what it tolerates") {
+TEST_CASE_FIXTURE(ColdReplica,
+                  "a cold replica gets no more than it tolerates") {
   start();
-  // Until it knows its fleet a daemon sends nothing to a cold replica.
+  // A daemon sends nothing to a cold replica until it knows its fleet.
   runFor(Millis(3200));
   makeCold(5000, 2);
   runFor(Millis(400));
@@ -46,7 +47,8 @@
   CHECK_FALSE(Pay.Seen.empty());
 }
 
-TEST_CASE_FIXTURE(ColdReplica, "a replica that becomes cold again is spared") {
+TEST_CASE_FIXTURE(ColdReplica,
+                  "the limit applies when a replica becomes cold again") {
   start();
   CHECK(served(5) == 5);
   makeCold(5000, 2);
@@ -56,7 +58,7 @@
   CHECK(Pay.Seen.size() - Before <= 8);
 }
 
-TEST_CASE_FIXTURE(ColdReplica, "it takes its part when it is warm") {
+TEST_CASE_FIXTURE(ColdReplica, "a warm replica is not limited") {
   makeCold(300, 2);
   start();
   runFor(Millis(1200));
--- a/tests/failure/ColdReplicasInAFleet.cpp
+++ b/tests/failure/ColdReplicasInAFleet.cpp
@@ -1,5 +1,5 @@
-// Guards against a fleet whose daemons each send little to a cold replica and
-// together more than it takes.
+// Guards against daemons that each send little to a cold replica but together
+// more than it tolerates.
 #include "shallotshift/front.h"
 
 #include "front/EntryAddresses.h"
@@ -13,10 +13,10 @@
 
 constexpr double Tolerated = 8;
 constexpr WarmupBound Bound{1.5, 5};
-constexpr double MostInASecond = Tolerated * 1.5 + 5;
+constexpr double MaxPerSecond = Tolerated * 1.5 + 5;
 
-/// Daemons in three regions, each with its own picture of the fleet, that all
-/// have requests for one service whose replicas are cold.
+/// Daemons in three regions, each with its own view of the fleet, that all have
+/// requests for one service whose replicas are cold.
 class ColdFleet {
 public:
   explicit ColdFleet(std::size_t Count) {
@@ -41,7 +41,7 @@
     return M;
   }
 
-  /// Daemon \p I has just started and sees \p View.
+  /// Restarts daemon \p I with the fleet view \p View.
   void join(std::size_t I, const FleetView &View) {
     ReplicaRegistryOptions O;
     O.Warmup = Bound;
@@ -71,8 +71,8 @@
     return E;
   }
 
-  /// Every daemon tries to send each 20 ms for \p For; the most that one
-  /// replica got in any second.
+  /// Every daemon tries to send every 20 ms for \p For; returns the largest
+  /// number of requests that one replica received in any second.
   double busiest(Duration For) {
     ServiceInfo Info{ServiceName("s"), 100, Tolerated};
     std::map<UpstreamId, std::deque<Instant>> Sends;
@@ -97,7 +97,7 @@
     return double(Most);
   }
 
-  /// The fleet without the daemons for which \p Gone holds.
+  /// The fleet with the daemons for which \p Gone holds in state \p As.
   template <typename Fn> FleetView without(Fn Gone, MemberState As) const {
     FleetView V = Whole;
     for (std::size_t I = 0; I < V.Members.size(); ++I)
@@ -116,16 +116,16 @@
 
 } // namespace
 
-TEST_CASE("a fleet of any size keeps the bound and uses a good part of it") {
+TEST_CASE("a fleet of any size stays within the bound without wasting it") {
   for (int Count : Sizes) {
     ColdFleet F(static_cast<std::size_t>(Count));
-    CHECK(F.busiest(Seconds(10)) <= MostInASecond);
-    // Three cold replicas for ten seconds, at half of what they tolerate.
+    CHECK(F.busiest(Seconds(10)) <= MaxPerSecond);
+    // Three cold replicas for ten seconds, at half the tolerated rate.
     CHECK(double(F.Total) >= 3 * 10 * Tolerated / 2);
   }
 }
 
-TEST_CASE("daemons with an old picture of the fleet keep the bound") {
+TEST_CASE("daemons with an outdated fleet view stay within the bound") {
   for (int Count : Sizes) {
     ColdFleet F(static_cast<std::size_t>(Count));
     auto Third = [](std::size_t I) { return I % 3 == 1; };
@@ -138,21 +138,21 @@
       if (I % 4 == 1)
         F.see(I, Older);
     }
-    CHECK(F.busiest(Seconds(10)) <= MostInASecond);
+    CHECK(F.busiest(Seconds(10)) <= MaxPerSecond);
   }
 }
 
-TEST_CASE("daemons that are cut off from the rest own nothing") {
+TEST_CASE("daemons in a minority partition send nothing") {
   for (int Count : Sizes) {
     ColdFleet F(static_cast<std::size_t>(Count));
     for (std::size_t I = 0; I < F.Registries.size(); I += 3)
       F.see(I, F.without([I](std::size_t Other) { return Other != I; },
                          MemberState::Failed));
-    CHECK(F.busiest(Seconds(10)) <= MostInASecond);
+    CHECK(F.busiest(Seconds(10)) <= MaxPerSecond);
   }
 }
 
-TEST_CASE("owners that restart keep the bound") {
+TEST_CASE("restarting owners stay within the bound") {
   for (int Count : Sizes) {
     ColdFleet F(static_cast<std::size_t>(Count));
     double Most = 0;
@@ -161,11 +161,11 @@
       // A daemon that has just started does not know its fleet yet.
       F.join(Round % F.Registries.size(), FleetView());
     }
-    CHECK(Most <= MostInASecond);
+    CHECK(Most <= MaxPerSecond);
   }
 }
 
-TEST_CASE("daemons return to a warm replica one after another") {
+TEST_CASE("daemons return to a warm replica at different times") {
   Duration First = WarmupReturnSpread, Last{0};
   for (int I = 0; I < 20; ++I) {
     Duration D =
@@ -178,7 +178,7 @@
   CHECK(Last < WarmupReturnSpread);
 }
 
-TEST_CASE("a bound without room for its owners lets nothing through") {
+TEST_CASE("a bound too small for its owners allows no requests") {
   CHECK(warmupRate(1, {1, 0}) == 0);
   CHECK(warmupRate(2, {1.5, 5}) == doctest::Approx(5.0 / 3));
   CHECK(warmupRate(1, {1.5, 50}) == 1);
--- a/tests/failure/DeadHostsAreNotNamed.cpp
+++ b/tests/failure/DeadHostsAreNotNamed.cpp
@@ -1,4 +1,4 @@
-// Guards against callers that are sent to hosts that went long ago.
+// Guards against directory replies that contain hosts which failed long ago.
 #include "FleetBag.h"
 #include "front/EntryAddresses.h"
 #include "shallotshift/front.h"
@@ -10,35 +10,36 @@
 
 namespace {
 
-/// A host that has been gone for longer may not be named: the time in which a
-/// calm fleet must have noticed, and a little.
-constexpr Duration MostNamed = Seconds(9);
+/// Hosts that have been down for longer may not be returned: the detection time
+/// of an otherwise stable fleet plus a margin.
+constexpr Duration MaxListed = Seconds(9);
 
-struct NamingFleet : FleetBag {
-  explicit NamingFleet(std::size_t Count)
+struct DirectoryFleet : FleetBag {
+  explicit DirectoryFleet(std::size_t Count)
       : FleetBag(Count, 7, frontMembershipOptions()) {
     startMet();
     run(Seconds(3));
   }
 
-  /// Addresses of hosts that are down, in the answers of all that are up.
-  std::size_t deadNamed() const {
+  /// Counts the addresses of hosts that are down in the replies of all hosts
+  /// that are up.
+  std::size_t deadListed() const {
     std::size_t Dead = 0;
     for (std::size_t By = 0; By < Nodes.size(); ++By) {
       if (!up(By))
         continue;
       for (std::size_t N = 0; N < Nodes.size(); ++N)
         if (!up(N))
-          Dead += names(By, N);
+          Dead += lists(By, N);
     }
     return Dead;
   }
 
-  bool names(std::size_t By, std::size_t Of) const {
+  bool lists(std::size_t By, std::size_t Of) const {
     Member M = member(Of);
-    std::vector<Endpoint> Named =
+    std::vector<Endpoint> Listed =
         entryAddresses(at(By).view(), {M.Zone, M.Reg});
-    return std::ranges::find(Named, M.Http) != Named.end();
+    return std::ranges::find(Listed, M.Http) != Listed.end();
   }
 };
 
@@ -46,37 +47,36 @@
 
 } // namespace
 
-TEST_CASE("hosts that lose power together are not named for long") {
+TEST_CASE("hosts that fail together are soon removed from replies") {
   for (int Count : Sizes) {
     CAPTURE(Count);
-    NamingFleet F(static_cast<std::size_t>(Count));
+    DirectoryFleet F(static_cast<std::size_t>(Count));
     for (std::size_t N = 0; N < F.Nodes.size(); N += 3)
       F.crash(N);
-    F.run(MostNamed);
-    CHECK(F.deadNamed() == 0);
+    F.run(MaxListed);
+    CHECK(F.deadListed() == 0);
   }
 }
 
-TEST_CASE(
-    "a daemon that starts does not learn of hosts that are gone as live") {
+TEST_CASE("a starting daemon does not learn of failed hosts as alive") {
   for (int Count : Sizes) {
     CAPTURE(Count);
-    NamingFleet F(static_cast<std::size_t>(Count));
+    DirectoryFleet F(static_cast<std::size_t>(Count));
     std::size_t Last = F.Nodes.size() - 1;
     F.crash(Last);
     for (std::size_t N = 3; N < F.Nodes.size(); N += 4)
       F.crash(N);
     F.run(Millis(300));
     F.start(Last);
-    F.run(MostNamed - Millis(300));
-    CHECK(F.deadNamed() == 0);
+    F.run(MaxListed - Millis(300));
+    CHECK(F.deadListed() == 0);
   }
 }
 
-TEST_CASE("hosts that went behind a cut are not named after it") {
+TEST_CASE("hosts that failed during a partition are not returned after it") {
   for (int Count : Sizes) {
     CAPTURE(Count);
-    NamingFleet F(static_cast<std::size_t>(Count));
+    DirectoryFleet F(static_cast<std::size_t>(Count));
     auto Half = [](std::size_t N) { return N % 2 == 0; };
     F.Faults.Cut = [=](std::size_t A, std::size_t B) {
       return Half(A) != Half(B);
@@ -86,7 +86,7 @@
       F.crash(N);
     F.run(Seconds(3));
     F.Faults.Cut = nullptr;
-    F.run(MostNamed);
-    CHECK(F.deadNamed() == 0);
+    F.run(MaxListed);
+    CHECK(F.deadListed() == 0);
   }
 }
--- a/tests/failure/EvacuatedZonesGetNothing.cpp
+++ b/tests/failure/EvacuatedZonesGetNothing.cpp
@@ -1,5 +1,5 @@
-// Guards against requests to replicas of an availability zone that operators
-// are evacuating.
+// Guards against requests to replicas in an availability zone that is being
+// evacuated.
 #include "FrontFixture.h"
 
 #include <doctest/doctest.h>
@@ -8,8 +8,9 @@
 using namespace shallot::test;
 using namespace shallot::standins;
 
-TEST_CASE_FIXTURE(FrontFixture,
-                  "an evacuated zone gets nothing until it is over") {
+TEST_CASE_FIXTURE(
+    FrontFixture,
+    "an evacuated zone gets no requests until the evacuation ends") {
   start();
   CHECK(get("/p/book", "q-1", "POST", "lane 4").Status == 200);
   Store.put("evacuations", "z", nlohmann::json::object());
@@ -25,7 +26,7 @@
   CHECK(get("/p/book", "q-4", "POST", "lane 4").Status == 200);
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "a daemon that starts knows of an evacuation") {
+TEST_CASE_FIXTURE(FrontFixture, "a starting daemon respects an evacuation") {
   Store.put("evacuations", "z", nlohmann::json::object());
   start();
   CHECK(get("/p/book", "q-1", "POST", "lane 4").Status == 503);
@@ -33,8 +34,8 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "an evacuation is found again when the store has "
-                  "forgotten its history") {
+                  "an evacuation is found after the store has dropped "
+                  "its history") {
   start();
   Store.put("evacuations", "z", nlohmann::json::object());
   Store.dropHistory();
@@ -44,7 +45,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "the evacuation of another zone changes nothing") {
+                  "the evacuation of another zone has no effect") {
   start();
   Store.put("evacuations", "elsewhere", nlohmann::json::object());
   Store.put("evacuations", "z2", nullptr);
--- a/tests/failure/FarMembersAreProbedSeldom.cpp
+++ b/tests/failure/FarMembersAreProbedSeldom.cpp
@@ -1,5 +1,5 @@
 // Guards against membership traffic between regions that grows with the fleet,
-// and against losses that its saving would hide.
+// and against losses that go unnoticed because far members are probed seldom.
 #include "FleetBag.h"
 #include "shallotshift/front.h"
 
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Bytes a second that each member sends to the other region while all is calm.
+/// Bytes per second that each member sends to the other region in a stable
+/// fleet.
 double farBytesPerSecond(std::size_t Count) {
   FleetBag Bag(Count, 7, frontMembershipOptions());
   Bag.startMet();
@@ -25,11 +26,11 @@
 TEST_CASE("traffic to the other region does not grow with the fleet") {
   double Small = farBytesPerSecond(83);
   double Large = farBytesPerSecond(300);
-  MESSAGE("bytes a second and host: ", Small, " of 83, ", Large, " of 300");
+  MESSAGE("bytes per second and host: ", Small, " of 83, ", Large, " of 300");
   CHECK(Large <= Small);
 }
 
-TEST_CASE("the loss of a region is noticed in the other one") {
+TEST_CASE("the loss of a region is detected in the other one") {
   FleetBag Bag(40, 7, frontMembershipOptions());
   Bag.startMet();
   Bag.run(Seconds(5));
@@ -38,8 +39,7 @@
   CHECK(Bag.untilAgreed(Seconds(60)) < Seconds(30));
 }
 
-TEST_CASE(
-    "a daemon that is alone in its region tells the others that it leaves") {
+TEST_CASE("the last daemon of a region announces that it is leaving") {
   FleetBag Bag(40, 7, frontMembershipOptions());
   Bag.startMet();
   for (std::size_t N = 3; N < 40; N += 2)
@@ -51,7 +51,7 @@
     CHECK(Bag.seen(N, 1) == MemberState::Leaving);
 }
 
-TEST_CASE("regions that lost each other meet again") {
+TEST_CASE("regions rejoin after a partition") {
   FleetBag Bag(40, 7, frontMembershipOptions());
   Bag.startMet();
   Bag.Faults.Cut = [](std::size_t A, std::size_t B) { return A % 2 != B % 2; };
--- a/tests/failure/FeedSourcesFailOver.cpp
+++ b/tests/failure/FeedSourcesFailOver.cpp
@@ -1,8 +1,8 @@
-// What is at stake: a change must reach every daemon in seconds, and the
-// store's calls are paid for. What happens: the daemon that watches for its
-// region dies, falls silent, loses the store, or the store is away for all. The
-// others must find word elsewhere soon, and the fleet must not all ask the
-// store.
+// Guards against changes that do not reach every daemon within seconds, and
+// against needless calls to the store, which cost money. The daemon that
+// watches the store for its region dies, goes silent or loses the store, or the
+// store is down for all. The others must find another source soon, and the
+// fleet must not all call the store.
 #include "shallotshift/front.h"
 
 #include <doctest/doctest.h>
@@ -41,7 +41,7 @@
         Found.push_back(M.Id.Host.str());
     return Found;
   }
-  /// A daemon of the east that does not watch the store.
+  /// A daemon in the region east that does not watch the store.
   std::string follower() {
     for (const Member &M : View.Members)
       if (!of(M.Id.Host.str(), M.Reg.str()).watchesStore())
@@ -52,8 +52,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FleetFixture,
-                  "one of each region asks the store, all agree") {
+TEST_CASE_FIXTURE(FleetFixture, "one daemon per region reads from the store") {
   auto Found = watchers();
   REQUIRE(Found.size() == 2);
   FeedSources F = of(follower(), "east");
@@ -64,7 +63,7 @@
 }
 
 TEST_CASE_FIXTURE(FleetFixture,
-                  "when the watcher is suspected another takes over") {
+                  "another daemon takes over when the watcher is suspected") {
   std::string First = watchers()[0];
   std::string Other = follower();
   FeedSources F = of(Other, "east");
@@ -74,11 +73,11 @@
       M.State = MemberState::Suspect;
   F.update(View);
   CHECK(F.lost(S));
-  CHECK(watchers().size() == 3); // The suspected one still asks, too.
+  CHECK(watchers().size() == 3); // The suspected one still reads, too.
 }
 
 TEST_CASE_FIXTURE(FleetFixture,
-                  "a source without word is left for another, then back") {
+                  "a failed source is replaced and used again later") {
   FeedSources F = of(follower(), "east");
   FeedSource First = F.next(true, Now);
   F.recordFailure(First, Rng, Now);
@@ -94,14 +93,14 @@
 }
 
 TEST_CASE_FIXTURE(FleetFixture,
-                  "the watcher asks the store twice before it asks peers") {
+                  "the watcher tries the store twice before it uses peers") {
   std::string First = watchers()[0];
   FeedSources F = of(First, "east");
   CHECK(F.next(true, Now).direct());
   F.recordFailure({}, Rng, Now);
   CHECK(F.next(true, Now).direct());
   F.recordFailure({}, Rng, Now);
-  // Those who watch for other regions: its own has only its own word.
+  // Watchers of other regions come first: its own region only has its data.
   FeedSource Other = F.next(true, Now);
   REQUIRE(Other.Peer);
   CHECK(Other.Peer->Id.Host.str() == watchers()[1]);
@@ -109,7 +108,8 @@
   CHECK(F.next(true, Now).direct());
 }
 
-TEST_CASE_FIXTURE(FleetFixture, "an outage of the store is not a storm on it") {
+TEST_CASE_FIXTURE(FleetFixture,
+                  "an outage of the store does not cause a burst of calls") {
   FeedSources F = of(follower(), "east");
   unsigned Calls = 0;
   for (Instant End = Now + Seconds(9); Now < End; Now += Millis(300)) {
@@ -121,7 +121,7 @@
   CHECK(Calls >= 1);
 }
 
-TEST_CASE_FIXTURE(FleetFixture, "a peer that read more is asked next, once") {
+TEST_CASE_FIXTURE(FleetFixture, "a preferred peer is used for one call") {
   FeedSources F = of(follower(), "east");
   FeedSource Usual = F.next(true, Now);
   F.prefer(View.Members.back());
@@ -130,7 +130,7 @@
 }
 
 TEST_CASE_FIXTURE(FleetFixture,
-                  "a fleet that has just started asks one, then the store") {
+                  "a starting fleet tries one peer, then the store") {
   for (Member &M : View.Members)
     M.State = MemberState::Starting;
   std::string First = watchers()[0];
@@ -138,45 +138,45 @@
   FeedSource Usual = F.next(false, Now);
   REQUIRE(Usual.Peer);
   CHECK(Usual.Peer->Id.Host.str() == First);
-  // It had nothing in time. Others that have just started are not asked: a
-  // fleet that waits for itself in a circle answers nobody.
+  // The peer did not reply in time. Other starting daemons are not used:
+  // daemons waiting for each other in a cycle would answer nobody.
   F.recordFailure(Usual, Rng, Now);
   CHECK(F.next(false, Now).direct());
   CHECK(of(First, "east").next(false, Now).direct());
 }
 
-TEST_CASE_FIXTURE(FleetFixture, "words reach a large region in three steps") {
+TEST_CASE_FIXTURE(FleetFixture, "changes reach a large region in three hops") {
   View.Members.clear();
   for (int N = 0; N < 250; ++N) {
     add("host" + std::to_string(N), "east");
     View.Members.back().Capacity = N % 50 == 0 ? 500 : 120;
   }
-  std::map<std::string, std::string> Asks;
-  std::map<std::string, std::size_t> Askers;
+  std::map<std::string, std::string> SourceOf;
+  std::map<std::string, std::size_t> Readers;
   for (const Member &M : View.Members) {
     FeedSource S = of(M.Id.Host.str(), "east").next(true, Now);
     if (S.direct())
       continue;
-    Asks[M.Id.Host.str()] = S.Peer->Id.Host.str();
-    ++Askers[S.Peer->Id.Host.str()];
+    SourceOf[M.Id.Host.str()] = S.Peer->Id.Host.str();
+    ++Readers[S.Peer->Id.Host.str()];
   }
-  CHECK(Asks.size() == 249); // One asks the store.
+  CHECK(SourceOf.size() == 249); // One reads from the store.
   for (const Member &M : View.Members) {
     std::string Host = M.Id.Host.str();
-    CHECK(Askers[Host] <= FeedFanOut);
-    CHECK((Askers[Host] > 0) == of(Host, "east").relays());
-    // Large hosts are asked first.
+    CHECK(Readers[Host] <= FeedFanOut);
+    CHECK((Readers[Host] > 0) == of(Host, "east").relays());
+    // Large hosts are used first.
     if (M.Capacity == 500)
-      CHECK(Askers[Host] > 0);
-    std::size_t Steps = 0;
-    for (std::string At = Host; Asks.contains(At); At = Asks[At])
-      ++Steps;
-    CHECK(Steps <= 3);
+      CHECK(Readers[Host] > 0);
+    std::size_t Hops = 0;
+    for (std::string At = Host; SourceOf.contains(At); At = SourceOf[At])
+      ++Hops;
+    CHECK(Hops <= 3);
   }
 }
 
 TEST_CASE_FIXTURE(FleetFixture,
-                  "below a daemon that died its neighbours find another") {
+                  "daemons below a failed daemon find another source") {
   View.Members.clear();
   for (int N = 0; N < 60; ++N)
     add("host" + std::to_string(N), "east");
@@ -192,10 +192,10 @@
   REQUIRE_FALSE(Leaf.empty());
   FeedSources F = of(Leaf, "east");
   FeedSource S = F.next(true, Now);
-  // Silent, and not yet suspected: the watcher itself is asked.
+  // The source is silent but not yet suspected: the watcher itself is used.
   F.recordFailure(S, Rng, Now);
   CHECK(F.next(true, Now).Peer->Id.Host.str() == watchers()[0]);
-  // Suspected: the order closes up behind it.
+  // The source is suspected: the ranking closes the gap.
   for (Member &M : View.Members)
     if (M.Id.Host.str() == Middle)
       M.State = MemberState::Suspect;
--- a/tests/failure/ForeignEntriesNameNoReplica.cpp
+++ b/tests/failure/ForeignEntriesNameNoReplica.cpp
@@ -1,8 +1,8 @@
-// What callers see: nothing, while somebody else writes into the store's list
-// of replicas. What happens: fields are missing or of another type, names and
-// values are huge or no text, states are unknown. Such an entry names no
-// replica; if it could spoil the reply that lists it, no replica would be
-// known at all, and every request would be refused.
+// Guards against entries of other writers in the list of replicas: fields may
+// be missing or have the wrong type, names and values may be huge or invalid
+// text, states may be unknown. Such an entry is no replica. If it made the
+// whole reply unreadable, no replica would be known and every request would be
+// refused.
 #include "FrontFixture.h"
 #include "platform/WireObjects.h"
 #include "platform/WireReplies.h"
@@ -28,7 +28,7 @@
   return R"({"items":[)" + Items + R"(],"more":false,"current_rev":9})";
 }
 
-/// How many replicas the reply names.
+/// Number of replicas in the reply.
 std::size_t replicasIn(const std::string &Body) {
   Attempt<KindPage> P = wire::readPage("servers", Body);
   REQUIRE_MESSAGE(P, P.error().Detail);
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("an entry that cannot be used hides no other") {
+TEST_CASE("an unusable entry does not affect others") {
   const std::vector<std::string> Foreign = {
       item("x", "null"),
       item("x", "7"),
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_CASE("an entry that nests without end is cut and hides no other") {
+TEST_CASE("a deeply nested entry is truncated and does not affect others") {
   std::string Deep(50000, '[');
   Deep += std::string(50000, ']');
   std::string Body =
@@ -91,7 +91,7 @@
   CHECK(replicasIn(Body) == 1);
 }
 
-TEST_CASE("a change that cannot be read hides no other") {
+TEST_CASE("an unreadable change does not affect others") {
   std::string Body = R"({"events":[{"deleted":false,"object":)" +
                      item("x", "null") +
                      R"(},7,{},{"deleted":true,"object":{}},
@@ -106,7 +106,7 @@
   CHECK_FALSE(C->Changes[1].Removed);
 }
 
-TEST_CASE("a reply that is none is a bad reply, never an empty list") {
+TEST_CASE("an invalid reply is an error, never an empty list") {
   for (const char *Body :
        {"", "[", "7", "{}", R"({"items":{},"current_rev":9})",
         R"({"items":[],"current_rev":-9})", R"({"items":[]})"})
@@ -117,7 +117,7 @@
             .Code == ResultCode::PlatformBadReply);
 }
 
-TEST_CASE("of the configurations one is kept") {
+TEST_CASE("only one configuration is kept") {
   std::string Body = page(item("main", R"({"version":1})") + "," +
                           item("other", R"({"version":2})"));
   Attempt<KindPage> P = wire::readPage("config", Body);
@@ -127,12 +127,13 @@
   CHECK(P->Objects[1].Content.is_null());
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "a daemon serves on among foreign entries") {
+TEST_CASE_FIXTURE(FrontFixture,
+                  "a daemon keeps serving despite foreign entries") {
   Store.put("servers", "a b&c?", {{"service", 7}});
   Store.put("servers", "i-0", nullptr);
   start();
   CHECK(get("/x/1").Status == 200);
-  // In a watch too, and the watch goes on: the next change is taken up.
+  // The same applies to a watch, which continues: the next change is applied.
   Store.put("servers", "zz", {{"service", "s1"}, {"state", "ready"}});
   Store.put("config", "other", {{"version", "none"}});
   runFor(Millis(200));
@@ -143,7 +144,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "an entry that became unreadable names nobody") {
+                  "an entry that became unreadable removes the replica") {
   start();
   Store.put("servers", Pay.id(), {{"service", "p"}, {"state", "ready"}});
   runFor(Seconds(3));
--- a/tests/failure/LargeChangeOnASlowLink.cpp
+++ b/tests/failure/LargeChangeOnASlowLink.cpp
@@ -1,10 +1,10 @@
-// A change that had been confirmed was not in force on hosts with small links:
-// their callers got 404 for routes that were there, and others ran by the old
-// rule, for seconds or for good. A configuration of 4,000 routes takes such a
-// host half a second to receive; it heard of the change from a peer, gave up
-// the answer that was arriving and asked that peer instead, and 0.7 s later did
-// so again. Everything that it had given up went on arriving and left less for
-// the next try.
+// Guards against configuration changes that never arrive, or arrive seconds
+// late, on hosts with slow links: callers got 404 for existing routes, and
+// other requests followed the old configuration. A configuration of 4,000
+// routes takes such a host half a second to receive. The host learned of the
+// change from a peer, cancelled the reply that was arriving, requested the
+// change from that peer instead, and did so again 0.7 s later. The cancelled
+// replies kept arriving and left less bandwidth for the next attempt:
 //
 //   feed_call_replaced  kind config  bytes 606208  ms 3906  silent_ms 12
 //   feed_call_replaced  kind config  bytes 671744  ms 538   silent_ms 6
@@ -21,15 +21,15 @@
 
 namespace {
 
-/// Bytes a second of the daemon's link, far below what loopback carries.
+/// Bytes per second on the link of the daemon, far below the rate of loopback.
 constexpr std::size_t LinkRate = 400000;
 /// A configuration of this size takes 1.5 s on that link.
 constexpr std::size_t LargeChange = 600000;
-/// What may go over the link until it is in force: twice what it takes.
+/// Limit for the bytes sent until the change is in force: twice the size.
 constexpr std::size_t Enough = 2 * LargeChange;
 
-/// A daemon that hears of the store only through three larger peers. The
-/// configuration that it starts with is \p Padding bytes larger than needed.
+/// A daemon that receives store data only through three larger peers. Its
+/// initial configuration is \p Padding bytes larger than needed.
 struct SlowBed : FrontFixture {
   SlowLink Link{Loop, LinkRate};
   PeerStore Known;
@@ -54,8 +54,8 @@
     open();
   }
 
-  /// The operator's next version, \p Padding bytes larger than the first. All
-  /// peers have it at once.
+  /// Publishes the next version, \p Padding bytes larger than the first, to all
+  /// peers at once.
   void change(int Version, std::uint64_t Revision, std::size_t Padding) {
     KindObject O{"main", Revision, config(Version)};
     O.Content["note"] = std::string(Padding, 'x');
@@ -69,8 +69,9 @@
       P->advance();
   }
 
-  /// Whether \p Version comes into force before \p Bytes have gone over the
-  /// link. The time is the link's, so a busy machine changes nothing.
+  /// True if \p Version is in force before \p Bytes have been sent over the
+  /// link. Counting bytes instead of time makes the result independent of the
+  /// load on the machine.
   bool inForce(std::uint64_t Version, std::size_t Bytes) {
     std::size_t End = Link.sent() + Bytes;
     runUntil([&] {
@@ -80,18 +81,18 @@
   }
 };
 
-/// One that has its first configuration.
+/// A daemon that has its first configuration.
 struct ServingBed : SlowBed {
   ServingBed() { REQUIRE(inForce(7, Enough)); }
 };
 
-/// One that has just started.
+/// A daemon that has just started.
 struct StartingBed : SlowBed {
   StartingBed() : SlowBed(LargeChange) {}
 };
 
-/// The watch of a daemon that asks the store itself, over a link that needs 5 s
-/// for a change.
+/// The watch of a daemon that reads from the store itself, over a link that
+/// needs 5 s for a change.
 struct StoreBed : FrontFixture {
   static constexpr std::size_t StoreLinkRate = 60000;
   static constexpr std::size_t StoreChange = 300000;
@@ -105,26 +106,25 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ServingBed,
-                  "a change that takes long to receive is received") {
+TEST_CASE_FIXTURE(ServingBed, "a change that is slow to transfer is received") {
   change(8, 11, LargeChange);
   CHECK(inForce(8, Enough));
 }
 
 TEST_CASE_FIXTURE(ServingBed,
-                  "who is behind by several changes gets the newest") {
+                  "a daemon that is several changes behind gets the newest") {
   for (int N = 1; N <= 4; ++N)
     change(7 + N, 10 + static_cast<std::uint64_t>(N), LargeChange);
-  // The first of them was on its way before the others were there.
+  // The first change was already being transferred.
   CHECK(inForce(11, Enough + LargeChange / 2));
 }
 
 TEST_CASE_FIXTURE(StartingBed,
-                  "a start reads a configuration that takes long") {
+                  "a starting daemon receives a large configuration") {
   CHECK(inForce(7, Enough));
 }
 
-TEST_CASE_FIXTURE(StoreBed, "the store's own answer is waited for too") {
+TEST_CASE_FIXTURE(StoreBed, "a slow reply of the store is waited for too") {
   runUntil([&] { return Watch.version() == 7; });
   Json Next = config(8);
   Next["note"] = std::string(StoreChange, 'x');
--- a/tests/failure/ManyPeersOfASmallHost.cpp
+++ b/tests/failure/ManyPeersOfASmallHost.cpp
@@ -1,7 +1,7 @@
-// Callers of a whole region see a change late. What happens: the large hosts of
-// the region are gone, and a host with a small link passes the configuration on
-// to sixteen others. It is full of the same words: sixteen times 0.7 MB need 6
-// s of a link of 14 Mbit/s, and the change has to be in force in 5 s.
+// Guards against late changes in a whole region. The large hosts of the region
+// are gone, and a host with a slow link relays the configuration to sixteen
+// others. Uncompressed, sixteen times 0.7 MB need 6 s on a link of 14 Mbit/s,
+// but the change has to be in force within 5 s.
 #include "FrontFixture.h"
 #include "SlowLink.h"
 
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t Routes = 2000;
-/// The link of the one that passes the change on, in bytes a second.
+/// Bytes per second on the link of the relaying host.
 constexpr std::size_t LinkRate = 2000000;
 
 std::string token(Random &Rng, std::size_t Size) {
@@ -42,18 +42,18 @@
   SlowLink Link{Loop, LinkRate};
   SlowProxy Proxy{Loop, Near, Far, Link};
   Metrics Meter;
-  std::vector<std::unique_ptr<RelayedStore<wire::WireStore>>> Askers;
+  std::vector<std::unique_ptr<RelayedStore<wire::WireStore>>> Readers;
   unsigned Whole = 0;
 
   SmallHostBed() {
     Cache.replaceAll({}, 1);
     for (std::size_t I = 0; I < FeedFanOut; ++I)
-      Askers.push_back(std::make_unique<RelayedStore<wire::WireStore>>(
+      Readers.push_back(std::make_unique<RelayedStore<wire::WireStore>>(
           Loop, Http, Client, sources("asker" + std::to_string(I)), Rng,
           Meter));
   }
 
-  /// Of a daemon that asks the one behind the link.
+  /// Sources of a daemon that reads from the host behind the link.
   FeedSources sources(const std::string &Name) const {
     FeedSources F(HostId(Name), Region("r"));
     Member M;
@@ -83,7 +83,7 @@
   }
 
   void watchAll() {
-    for (auto &A : Askers)
+    for (auto &A : Readers)
       A->watchKind(
           "config", 1, Seconds(4), [this](const Attempt<KindChanges> &C) {
             Whole += C && C->Changes.size() == 1 &&
@@ -94,7 +94,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(SmallHostBed, "a large change goes to sixteen in few bytes") {
+TEST_CASE_FIXTURE(SmallHostBed,
+                  "a large change is sent to sixteen peers in few bytes") {
   KindObject Change = large();
   std::size_t Bytes = Change.Content.dump().size();
   watchAll();
--- a/tests/failure/MoreChangesThanAReplyHolds.cpp
+++ b/tests/failure/MoreChangesThanAReplyHolds.cpp
@@ -1,8 +1,8 @@
-// Callers are answered by an old configuration until the store forgets its
-// history, 20 s and more. What happens: a daemon cannot reach the store while a
-// large configuration changes several times. The store then answers its watch
-// with every version since, which is more than a reply may hold; the daemon
-// drops the reply, asks the same again and drops that too.
+// Guards against a daemon that stays on an old configuration until the store
+// drops its history, 20 s or more. While the daemon cannot reach the store, a
+// large configuration changes several times. The store then replies to the
+// watch with all versions since, which exceeds the size limit of a reply; the
+// daemon drops the reply, repeats the request and drops that reply too.
 #include "ConfigWatch.h"
 #include "FrontFixture.h"
 
@@ -15,12 +15,12 @@
 namespace {
 
 constexpr std::size_t LargeConfig = 900000;
-/// Together above what the client takes in one reply.
+/// Enough changes to exceed the reply limit of the client.
 constexpr int Changes = 6;
 
 } // namespace
 
-TEST_CASE_FIXTURE(FrontFixture, "who missed too much lists anew") {
+TEST_CASE_FIXTURE(FrontFixture, "a daemon that missed too much lists again") {
   REQUIRE(LargeConfig * Changes > HttpClientLimits().MaxReplyBytes);
   ConfigWatch Watch(Client, Loop);
   runUntil([&] { return Watch.version() == 7; });
--- a/tests/failure/PeersAreToldWhatIsStale.cpp
+++ b/tests/failure/PeersAreToldWhatIsStale.cpp
@@ -1,7 +1,7 @@
-// What callers see when this fails: a route that was changed is served as it
-// was, on every host at once. What happens: the watch of one kind hears nothing
-// while the other's answers come; peers that are told "fresh" of the first wait
-// for it and for each other, and nobody asks the store.
+// Guards against an outdated route being served on all hosts. The watch of one
+// kind receives nothing while replies for another kind arrive. If peers were
+// told that the first kind is fresh, they would wait for it and for each other,
+// and no daemon would call the store.
 #include "FrontFixture.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// How old this daemon says that its word on \p Kind is.
+/// Age that this daemon reports for its data of \p Kind.
 Duration ageOf(FrontFixture &Bed, const std::string &Kind) {
   FeedRequest Q;
   Q.Kind = Kind;
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FrontFixture, "the age of a kind is that kind's own") {
+TEST_CASE_FIXTURE(FrontFixture, "the age is kept per kind") {
   start();
   CHECK(ageOf(*this, "config") < MaxFeedAge);
   Store.setFaults({.BusyKind = "config"});
@@ -33,7 +33,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "one who waits for a stale kind is told at once") {
+                  "a watch request for a stale kind is answered immediately") {
   start();
   Store.setFaults({.BusyKind = "config"});
   runFor(MaxFeedAge + Seconds(2));
@@ -44,15 +44,14 @@
   HttpRequest R;
   R.To = Set.Peers;
   R.Path = feedTarget(Q);
-  R.Timeout = Seconds(2); // Far below the wait.
+  R.Timeout = Seconds(2); // Much shorter than the wait.
   auto Got = readChanges(exchange(Http, std::move(R)));
   REQUIRE_MESSAGE(Got, Got.error().Detail);
   CHECK(Got->Changes.empty());
   CHECK(Got->Age > MaxFeedAge);
 }
 
-TEST_CASE_FIXTURE(FrontFixture,
-                  "one who passes the word on knows how old it is") {
+TEST_CASE_FIXTURE(FrontFixture, "a relaying peer is told the age of the data") {
   start();
   FeedRequest Q;
   Q.Kind = "servers";
@@ -63,7 +62,7 @@
   R.To = Set.Peers;
   R.Path = feedTarget(Q);
   R.Timeout = MaxFeedAge;
-  // Nothing changes; the answer comes when the store was heard from.
+  // There is no change; the reply is sent when the store has answered.
   auto Got = readChanges(exchange(Http, std::move(R)));
   REQUIRE_MESSAGE(Got, Got.error().Detail);
   CHECK(Got->Changes.empty());
@@ -71,7 +70,7 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "a list waits for a daemon that is still reading") {
+                  "a list request waits until the daemon has read the store") {
   Store.setFaults({.Mode = StoreMode::Busy});
   open();
   runFor(Millis(200));
--- a/tests/failure/RequestsStayInAllowedRegions.cpp
+++ b/tests/failure/RequestsStayInAllowedRegions.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that leave the regions in which a route may be
-// served.
+// Guards against requests that are sent outside the allowed regions of their
+// route.
 #include "FrontFixture.h"
 
 #include <doctest/doctest.h>
@@ -45,8 +45,8 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(TwoRegions,
-                  "a request is refused when only replicas abroad are left") {
+TEST_CASE_FIXTURE(
+    TwoRegions, "a request is refused when only replicas elsewhere are left") {
   Store.put("config", "main", restricted(8, {"r"}));
   start();
   CHECK(get("/p/book", "q-1", "POST", "lane 4").Status == 200);
@@ -58,7 +58,8 @@
   CHECK(Abroad.Seen.empty());
 }
 
-TEST_CASE_FIXTURE(TwoRegions, "each shard of a search stays in the regions") {
+TEST_CASE_FIXTURE(TwoRegions,
+                  "each shard of a search stays in the allowed regions") {
   Store.put("config", "main", restricted(8, {"r"}));
   start();
   Two.announce("draining");
@@ -69,7 +70,7 @@
   CHECK(ShardAbroad.Seen.empty());
 }
 
-TEST_CASE_FIXTURE(TwoRegions, "an empty list of regions restricts nothing") {
+TEST_CASE_FIXTURE(TwoRegions, "an empty list of regions means no restriction") {
   Store.put("config", "main", restricted(8, nlohmann::json::array()));
   start();
   Pay.announce("draining");
@@ -78,7 +79,7 @@
   CHECK(Abroad.Seen.size() == 1);
 }
 
-TEST_CASE_FIXTURE(TwoRegions, "a change that restricts a route takes hold") {
+TEST_CASE_FIXTURE(TwoRegions, "a change that restricts a route takes effect") {
   start();
   Pay.announce("draining");
   runFor(Millis(400));
