--- a/tests/failure/WordsDoNotCircle.cpp
+++ b/tests/failure/WordsDoNotCircle.cpp
@@ -1,8 +1,7 @@
-// What callers see when this fails: daemons so busy with each other that
-// changes are in force seconds late and answers come late. What happens: two
-// daemons have lost the store and ask each other; each answer lets the other
-// one answer at once, thousands of times a second, with nothing new in any of
-// them.
+// Guards against daemons that keep each other so busy that changes and replies
+// are seconds late. Two daemons have lost the store and read from each other;
+// each reply makes the other reply immediately, thousands of times per second,
+// without any new data.
 #include "NetFixture.h"
 #include "shallotshift/front.h"
 
@@ -10,7 +9,7 @@
 
 namespace {
 
-struct CircleFixture : NetFixture {
+struct RelayLoopFixture : NetFixture {
   TimerQueue Timers{Loop};
   KindCache Cache;
   Instant Heard = Loop.now();
@@ -27,8 +26,8 @@
   HttpClient Http{Loop};
   unsigned Answers = 0;
 
-  /// Asks, and asks again whenever it is answered, as a daemon does.
-  void askOn(bool Relays) {
+  /// Sends a request, and another one after each reply, as a daemon does.
+  void pollForever(bool Relays) {
     FeedRequest Q;
     Q.Kind = "config";
     Q.Since = Cache.revision();
@@ -40,14 +39,14 @@
     R.Timeout = Seconds(30);
     Http.send(std::move(R), [this, Relays](const HttpReply &) {
       ++Answers;
-      askOn(Relays);
+      pollForever(Relays);
     });
   }
 
-  /// The daemon takes in an answer every few milliseconds.
-  void advanceFor(Duration For, bool WordsAreNew) {
+  /// Simulates a daemon that receives a reply every few milliseconds.
+  void advanceFor(Duration For, bool Fresh) {
     for (Instant End = Loop.now() + For; Loop.now() < End;) {
-      if (WordsAreNew)
+      if (Fresh)
         Heard = Loop.now();
       Feed.advanced("config");
       runFor(Millis(5));
@@ -57,24 +56,24 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(CircleFixture, "an old word is passed on once") {
-  askOn(true);
+TEST_CASE_FIXTURE(RelayLoopFixture, "unchanged data is relayed once") {
+  pollForever(true);
   runUntil([this] { return Feed.waiting() == 1; });
   advanceFor(Millis(800), false);
   CHECK(Answers == 1);
 }
 
-TEST_CASE_FIXTURE(CircleFixture,
-                  "new words are passed on, but not all of them") {
-  askOn(true);
+TEST_CASE_FIXTURE(RelayLoopFixture, "fresh data is relayed at a limited rate") {
+  pollForever(true);
   runUntil([this] { return Feed.waiting() == 1; });
   advanceFor(Millis(1000), true);
   CHECK(Answers >= 2);
   CHECK(Answers <= 6);
 }
 
-TEST_CASE_FIXTURE(CircleFixture, "who passes nothing on waits for a change") {
-  askOn(false);
+TEST_CASE_FIXTURE(RelayLoopFixture,
+                  "a peer that does not relay waits for a change") {
+  pollForever(false);
   runUntil([this] { return Feed.waiting() == 1; });
   advanceFor(Millis(500), true);
   CHECK(Answers == 0);
