--- a/tests/correctness/FrontServesADeployment.cpp
+++ b/tests/correctness/FrontServesADeployment.cpp
@@ -55,7 +55,7 @@
   CHECK(Pay.Seen[0].Body == "lane 4");
 }
 
-TEST_CASE_FIXTURE(FrontFixture, "refusals have the right status") {
+TEST_CASE_FIXTURE(FrontFixture, "refusals are honest") {
   start();
   CHECK(get("/none").Status == 404);
   Pay.announce("draining");
