--- a/packages/front/FeedAnswers.cpp
+++ b/packages/front/FeedAnswers.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// \p Text in zlib's form; nothing when that is not smaller. The quickest
-/// level: 748 KB of routes become 66 KB in 3.2 ms, the best level saves a tenth
-/// of that for twice the time.
-std::optional<std::string> deflated(const std::string &Text) {
+/// Returns \p Text in zlib format, or nothing if that is not smaller. Uses the
+/// fastest level: 748 KB of routes become 66 KB in 3.2 ms; the best level saves
+/// a tenth of that for twice the time.
+std::optional<std::string> deflate(const std::string &Text) {
   uLongf Size = compressBound(Text.size());
   std::string Packed(Size, '\0');
   int Code = compress2(reinterpret_cast<Bytef *>(Packed.data()), &Size,
@@ -23,11 +23,11 @@
   return Packed;
 }
 
-ServerReply made(std::string Body) {
+ServerReply makeReply(std::string Body) {
   ServerReply R;
   std::optional<std::string> Packed;
-  if (Body.size() >= FeedAnswers::LeastDeflated)
-    Packed = deflated(Body);
+  if (Body.size() >= FeedReplyCache::MinDeflateSize)
+    Packed = deflate(Body);
   if (Packed)
     R.Headers.push_back({"Content-Encoding", DeflateCoding});
   R.Body = Packed ? std::move(*Packed) : std::move(Body);
@@ -36,30 +36,30 @@
 
 } // namespace
 
-ServerReply FeedAnswers::reply(const FeedAnswerKey &Key, Instant Now,
-                               const std::function<std::string()> &Write) {
+ServerReply FeedReplyCache::reply(const FeedReplyKey &Key, Instant Now,
+                                  const std::function<std::string()> &Write) {
   expire(Now);
-  if (auto Found = Kept.find(Key); Found != Kept.end())
+  if (auto Found = Entries.find(Key); Found != Entries.end())
     return Found->second.Reply;
   std::string Body = Write();
-  bool Large = Body.size() >= LeastDeflated;
-  ServerReply R = made(std::move(Body));
+  bool Large = Body.size() >= MinDeflateSize;
+  ServerReply R = makeReply(std::move(Body));
   if (Large)
     keep(Key, R, Now);
   return R;
 }
 
-void FeedAnswers::keep(const FeedAnswerKey &Key, const ServerReply &R,
-                       Instant Now) {
-  if (Kept.size() >= MostKept)
-    Kept.erase(std::ranges::min_element(
-        Kept, {}, [](const auto &Entry) { return Entry.second.MadeAt; }));
-  Kept.emplace(Key, Answer{R, Now});
+void FeedReplyCache::keep(const FeedReplyKey &Key, const ServerReply &R,
+                          Instant Now) {
+  if (Entries.size() >= MaxEntries)
+    Entries.erase(std::ranges::min_element(
+        Entries, {}, [](const auto &Entry) { return Entry.second.MadeAt; }));
+  Entries.emplace(Key, CachedReply{R, Now});
 }
 
-void FeedAnswers::expire(Instant Now) {
-  std::erase_if(Kept, [Now](const auto &Entry) {
-    return Now - Entry.second.MadeAt >= KeptFor;
+void FeedReplyCache::expire(Instant Now) {
+  std::erase_if(Entries, [Now](const auto &Entry) {
+    return Now - Entry.second.MadeAt >= KeepTime;
   });
 }
 
--- a/tests/FrontFixture.cpp
+++ b/tests/FrontFixture.cpp
@@ -23,7 +23,7 @@
   S.Metrics = Free();
   S.Store = Free();
   S.StopGrace = Millis(1500);
-  S.LeavingServes = Seconds(3);
+  S.DrainDuration = Seconds(3);
   S.EntryValidity = Seconds(5);
   S.Cores = 1;
   S.Evacuation = Seconds(5);
@@ -86,12 +86,12 @@
 }
 
 void FrontFixture::open() {
-  auto D =
-      attempt([&] { return FrontDaemon::open(Loop, Set, wire::adapter(), 1); });
+  auto D = attempt(
+      [&] { return FrontDaemon::open(Loop, Set, wire::frontAdapter(), 1); });
   REQUIRE_MESSAGE(D, D.error().Detail);
   Daemon = std::move(*D);
   Feed = std::make_unique<ServingFeed<wire::WireStore>>(
-      Loop, Http, Client, *Daemon, wire::forms(Set));
+      Loop, Http, Client, *Daemon, wire::storeSchema(Set));
   Feed->start();
 }
 
--- a/tests/failure/PeersAreToldWhatIsStale.cpp
+++ b/tests/failure/PeersAreToldWhatIsStale.cpp
@@ -1,7 +1,7 @@
-// What callers see when this fails: a route that was changed is served as it
-// was, on every host at once. What happens: the watch of one kind hears nothing
-// while the other's answers come; peers that are told "fresh" of the first wait
-// for it and for each other, and nobody asks the store.
+// Guards against an outdated route being served on all hosts. The watch of one
+// kind receives nothing while replies for another kind arrive. If peers were
+// told that the first kind is fresh, they would wait for it and for each other,
+// and no daemon would call the store.
 #include "FrontFixture.h"
 
 #include <doctest/doctest.h>
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// How old this daemon says that its word on \p Kind is.
+/// Age that this daemon reports for its data of \p Kind.
 Duration ageOf(FrontFixture &Bed, const std::string &Kind) {
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = Kind;
   auto Page = readPage(Bed.ask(Bed.Set.Peers, feedTarget(Q)));
   REQUIRE_MESSAGE(Page, Page.error().Detail);
@@ -23,38 +23,37 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(FrontFixture, "the age of a kind is that kind's own") {
+TEST_CASE_FIXTURE(FrontFixture, "the age is kept per kind") {
   start();
-  CHECK(ageOf(*this, "config") < MostFeedAge);
+  CHECK(ageOf(*this, "config") < MaxFeedAge);
   Store.setFaults({.BusyKind = "config"});
-  runFor(MostFeedAge + Seconds(2));
-  CHECK(ageOf(*this, "config") > MostFeedAge);
-  CHECK(ageOf(*this, "servers") < MostFeedAge);
+  runFor(MaxFeedAge + Seconds(2));
+  CHECK(ageOf(*this, "config") > MaxFeedAge);
+  CHECK(ageOf(*this, "servers") < MaxFeedAge);
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "one who waits for a stale kind is told at once") {
+                  "a watch request for a stale kind is answered immediately") {
   start();
   Store.setFaults({.BusyKind = "config"});
-  runFor(MostFeedAge + Seconds(2));
-  FeedQuestion Q;
+  runFor(MaxFeedAge + Seconds(2));
+  FeedRequest Q;
   Q.Kind = "config";
   Q.Since = 100000;
   Q.Wait = Seconds(20);
   HttpRequest R;
   R.To = Set.Peers;
   R.Path = feedTarget(Q);
-  R.Timeout = Seconds(2); // Far below the wait.
+  R.Timeout = Seconds(2); // Much shorter than the wait.
   auto Got = readChanges(exchange(Http, std::move(R)));
   REQUIRE_MESSAGE(Got, Got.error().Detail);
   CHECK(Got->Changes.empty());
-  CHECK(Got->Age > MostFeedAge);
+  CHECK(Got->Age > MaxFeedAge);
 }
 
-TEST_CASE_FIXTURE(FrontFixture,
-                  "one who passes the word on knows how old it is") {
+TEST_CASE_FIXTURE(FrontFixture, "a relaying peer is told the age of the data") {
   start();
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = "servers";
   Q.Since = 100000;
   Q.Wait = Seconds(20);
@@ -62,8 +61,8 @@
   HttpRequest R;
   R.To = Set.Peers;
   R.Path = feedTarget(Q);
-  R.Timeout = MostFeedAge;
-  // Nothing changes; the answer comes when the store was heard from.
+  R.Timeout = MaxFeedAge;
+  // There is no change; the reply is sent when the store has answered.
   auto Got = readChanges(exchange(Http, std::move(R)));
   REQUIRE_MESSAGE(Got, Got.error().Detail);
   CHECK(Got->Changes.empty());
@@ -71,11 +70,11 @@
 }
 
 TEST_CASE_FIXTURE(FrontFixture,
-                  "a list waits for a daemon that is still reading") {
+                  "a list request waits until the daemon has read the store") {
   Store.setFaults({.Mode = StoreMode::Busy});
   open();
   runFor(Millis(200));
-  FeedQuestion Q;
+  FeedRequest Q;
   Q.Kind = "servers";
   CHECK(readPage(ask(Set.Peers, feedTarget(Q))).error().Code ==
         ResultCode::PeerUnreachable);
