--- a/packages/crashguard/RecordDocument.h
+++ b/packages/crashguard/RecordDocument.h
@@ -56,7 +56,7 @@
   RecordDocument &operator=(const RecordDocument &) = delete;
 
   const std::string &path() const { return Path; }
-  void onChange(ChangeFn Fn) { OnNews = std::move(Fn); }
+  void onChange(ChangeFn Fn) { OnChange = std::move(Fn); }
   /// The last seen store version of the document; 0: none.
   std::uint64_t version() const { return Stored.Version; }
   const StoredObject &stored() const { return Stored; }
@@ -68,7 +68,7 @@
     auto Read = attempt([&] { return parseRecordSet(Now.Value); });
     Stored = Now;
     if (Read) {
-      Page = std::move(*Read);
+      Records = std::move(*Read);
     } else {
       // A malformed document counts as empty; the next write replaces it.
       logEvent(LogLevel::Error, "record_document_unreadable",
@@ -76,20 +76,20 @@
                 {"version", std::to_string(Now.Version)},
                 {"code", codeLabel(Read.error().Code)},
                 {"why", Read.error().Detail}});
-      Page = {Page.Revision, {}};
+      Records = {Records.Revision, {}};
     }
-    if (OnNews)
-      OnNews(Page);
+    if (OnChange)
+      OnChange(Records);
   }
 
   /// Reports that an operator removed the document from the store.
   void removed() {
-    if (Stored.Version == 0 && Page.Objects.empty())
+    if (Stored.Version == 0 && Records.Objects.empty())
       return;
     Stored = {};
-    Page = {Page.Revision + 1, {}};
-    if (OnNews)
-      OnNews(Page);
+    Records = {Records.Revision + 1, {}};
+    if (OnChange)
+      OnChange(Records);
   }
 
   // The KindWriter interface. There is one kind, so its name is ignored.
@@ -127,8 +127,8 @@
   }
 
   std::optional<KindObject> object(const std::string &Name) const {
-    auto At = Page.Objects.find(Name);
-    if (At == Page.Objects.end())
+    auto At = Records.Objects.find(Name);
+    if (At == Records.Objects.end())
       return std::nullopt;
     return At->second;
   }
@@ -139,7 +139,7 @@
   }
 
   RecordSet withEdit(const Edit &E) const {
-    RecordSet Next = Page;
+    RecordSet Next = Records;
     ++Next.Revision;
     if (E.Removes)
       Next.Objects.erase(E.Name);
@@ -190,9 +190,9 @@
 
   Store &S;
   std::string Path;
-  ChangeFn OnNews;
+  ChangeFn OnChange;
   StoredObject Stored;
-  RecordSet Page;
+  RecordSet Records;
   std::shared_ptr<char> Alive = std::make_shared<char>();
 };
 
