--- a/packages/model/Preset.h
+++ b/packages/model/Preset.h
@@ -29,8 +29,9 @@
 
 /// How requests of one class are treated.
 struct ClassPolicy {
-  unsigned Priority = 5;          ///< 0 is served first, LowestPriority last.
-  Duration Deadline = Seconds(1); ///< The default and the maximum.
+  unsigned Priority = 5; ///< 0 is served first, LowestPriority last.
+  /// Default for requests without a deadline, and upper limit for the others.
+  Duration Deadline = Seconds(1);
   CoverageRule Coverage = CoverageRule::Partial;
   /// With Partial: answer at this age with the replies so far. 0: at the
   /// deadline.
--- a/packages/model/SubRequest.h
+++ b/packages/model/SubRequest.h
@@ -45,12 +45,14 @@
   bool Cold = false;
   bool Draining = false;
   Duration RetryAfter{0};   ///< 0: not given.
-  Duration UpstreamTook{0}; ///< Measured by the slot's holder.
+  Duration UpstreamTook{0}; ///< Measured by the daemon that holds the slot.
   Duration Queued{0};       ///< Wait for a slot at its holder.
-  unsigned HolderQueue = 0; ///< Queue length there at that time.
-  int Status = 0;           ///< Of the HTTP reply; 0: none received.
-  bool Crashed = false;     ///< The upstream's process exited during it.
-  std::string Body;         ///< The upstream's records, as JSON.
+  /// Requests queued at the holder when this one was sent.
+  unsigned HolderQueue = 0;
+  int Status = 0; ///< Of the HTTP reply; 0: none received.
+  /// The upstream's process exited while it handled the request.
+  bool Crashed = false;
+  std::string Body; ///< The upstream's records, as JSON.
 
   friend bool operator==(const SubReply &, const SubReply &) = default;
 };
--- a/packages/query/QueryCaution.cpp
+++ b/packages/query/QueryCaution.cpp
@@ -11,10 +11,10 @@
                              [](const SubQuery &Sub) { return Sub.hasOpen(); });
 }
 
-/// A search may crash every upstream that runs it. Retries for each service
-/// that it lost, and hedges, would then crash all upstreams within one request.
-/// Therefore a suspected search is sent only when no other attempt is open,
-/// until an attempt succeeds.
+/// True while the search is suspected of crashing every upstream that runs it.
+/// Retries for each service that it lost, and hedges, would then crash all
+/// upstreams within one request. Therefore a suspected search is sent only when
+/// no other attempt is open, until an attempt succeeds.
 bool QueryMachine::isSuspect() const {
   bool Suspected = Spec.Care != Caution::None || Sender->cost().Crashed > 0;
   return Suspected && !AnyAttemptSucceeded;
@@ -65,8 +65,8 @@
 /// held back may no longer be usable.
 void QueryMachine::sendAgain(std::size_t I, TraceKind Kind, Instant Now) {
   SubQuery &Sub = Subs[I];
-  bool Time = FinishBy - Now >= MinUsefulTime;
-  auto To = Time ? pickForRetry(Sub, Now) : std::nullopt;
+  bool HasTime = FinishBy - Now >= MinUsefulTime;
+  auto To = HasTime ? pickForRetry(Sub, Now) : std::nullopt;
   if (To)
     return sendTo(I, *To, Kind, Now);
   ResultCode Why =
--- a/packages/query/ReplicaTable.cpp
+++ b/packages/query/ReplicaTable.cpp
@@ -215,7 +215,7 @@
   S.Latency = R.Latency;
   S.Weight = R.Shed.weight(Now) * R.Warmup.weight(Now);
   S.Ejected = R.EjectedUntil > Now;
-  S.Resting = R.Shed.weight(Now) < LastResortWeight;
+  S.Shedding = R.Shed.weight(Now) < LastResortWeight;
   S.Draining = R.isLeaving(Now);
   S.ReportedLoad = R.ReportedLoad;
   S.Servable = R.Servable;
--- a/packages/query/ReplicaTable.h
+++ b/packages/query/ReplicaTable.h
@@ -71,7 +71,7 @@
   Duration Latency{0};
   double Weight = 1; ///< Below 1 while it recovers.
   bool Ejected = false;
-  bool Resting = false; ///< Shed load; not used even as a last resort.
+  bool Shedding = false; ///< Shed load; not used even as a last resort.
   bool Draining = false;
   double ReportedLoad = 0;
   std::vector<Snapshot> Servable;
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -186,12 +186,12 @@
     CHECK(O.Answers.front().Records.empty());
   }
 
-  /// Delivers a reply. Only reply() delivers to open attempts.
+  /// Delivers a reply; only those of reply() are for open attempts.
   void deliver(QueryRun &Run, const AttemptKey &Key, const SubReply &Reply) {
     O.take(Run.onReply(Key, Reply, Now));
   }
 
-  /// After the answer nothing has any effect.
+  /// No event has an effect after the answer.
   void checkAfterFinish(QueryRun &Run) {
     REQUIRE(O.Answers.size() == 1);
     CHECK(O.Sent.empty());
