--- a/packages/forward/WarmupShare.cpp
+++ b/packages/forward/WarmupShare.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// The carrier with the highest hash among those that satisfy \p Matches.
+/// The entry host with the highest hash among those that satisfy \p Matches.
 template <typename Predicate>
 const WarmupSender *highestHash(const WarmupSenders &S, const UpstreamId &Id,
                                 Predicate Matches) {
   const WarmupSender *Best = nullptr;
   std::uint64_t BestHash = 0;
-  for (const WarmupSender &C : S.Carriers) {
-    if (!Matches(C))
+  for (const WarmupSender &Sender : S.EntryHosts) {
+    if (!Matches(Sender))
       continue;
-    std::uint64_t Hash = hash64(C.Host.str(), hash64(Id.str()));
+    std::uint64_t Hash = hash64(Sender.Host.str(), hash64(Id.str()));
     if (Best && Hash <= BestHash)
       continue;
-    Best = &C;
+    Best = &Sender;
     BestHash = Hash;
   }
   return Best;
@@ -29,8 +29,8 @@
 
 bool ownsWarmup(const WarmupSenders &S, const UpstreamId &Id,
                 const Region &Reg) {
-  const WarmupSender *Owner =
-      highestHash(S, Id, [&](const WarmupSender &C) { return C.Reg == Reg; });
+  const WarmupSender *Owner = highestHash(
+      S, Id, [&](const WarmupSender &Sender) { return Sender.Reg == Reg; });
   if (!Owner)
     Owner = highestHash(S, Id, [](const WarmupSender &) { return true; });
   return Owner && Owner->Host == S.Self;
--- a/packages/forward/WarmupShare.h
+++ b/packages/forward/WarmupShare.h
@@ -6,12 +6,12 @@
 // every daemon finds them idle.
 //
 // Each cold replica has one owner, selected by rendezvous hashing among the
-// daemons that carry callers in its region, or in all regions if there is none
-// in its own. The owner sends at a bounded rate; all others send nothing. There
-// is no coordinator, so daemons with different views of the membership may each
-// consider themselves the owner. The rate is chosen so that MaxOwners of them
-// together stay within the bound. A daemon that does not know the other senders
-// owns nothing.
+// entry hosts (the daemons that callers are sent to) in its region, or in all
+// regions if there is none in its own. The owner sends at a bounded rate; all
+// others send nothing. There is no coordinator, so daemons with different views
+// of the membership may each consider themselves the owner. The rate is chosen
+// so that MaxOwners of them together stay within the bound. A daemon that does
+// not know the other senders owns nothing.
 //
 // Equal shares for all daemons would need no owner, but would not bound the
 // total: with more daemons than the bound, one request from each is too much.
@@ -35,7 +35,7 @@
   friend bool operator==(const WarmupBound &, const WarmupBound &) = default;
 };
 
-/// A daemon that carries callers.
+/// An entry host: a daemon that callers are sent to.
 struct WarmupSender {
   HostId Host;
   Region Reg;
@@ -45,7 +45,7 @@
 
 struct WarmupSenders {
   HostId Self;
-  std::vector<WarmupSender> Carriers; ///< Empty if the senders are not known.
+  std::vector<WarmupSender> EntryHosts; ///< Empty if the senders are not known.
 
   friend bool operator==(const WarmupSenders &,
                          const WarmupSenders &) = default;
--- a/packages/front/EntryAddresses.cpp
+++ b/packages/front/EntryAddresses.cpp
@@ -24,28 +24,28 @@
   return Found;
 }
 
-/// The carriers for the callers of matching members, among those in state
-/// \p State.
-std::vector<const Member *> carriers(const FleetView &View, MemberState State,
-                                     const MemberFilter &Matches) {
+/// The entry hosts of the members that satisfy \p Matches, selected among those
+/// in state \p State.
+std::vector<const Member *> entryHosts(const FleetView &View, MemberState State,
+                                       const MemberFilter &Matches) {
   std::vector<const Member *> Zone;
   for (const Member &M : View.Members)
     if (Matches(M))
       Zone.push_back(&M);
   return chooseEntryHosts(membersInState(View, State, Matches), Zone,
-                        MaxEntryAddresses);
+                          MaxEntryAddresses);
 }
 
-/// Carriers of all zones, and daemons that may still be serving: suspected or
-/// leaving ones.
-std::set<const Member *> allCarriers(const FleetView &View) {
+/// The entry hosts of all zones, and daemons that may still be serving:
+/// suspected or leaving ones.
+std::set<const Member *> allEntryHosts(const FleetView &View) {
   std::set<AvailabilityZone> Zones;
   for (const Member &M : View.Members)
     Zones.insert(M.Zone);
   std::set<const Member *> Found;
   for (const AvailabilityZone &Zone : Zones) {
     auto InZone = [&](const Member &M) { return M.Zone == Zone; };
-    auto Alive = carriers(View, MemberState::Alive, InZone);
+    auto Alive = entryHosts(View, MemberState::Alive, InZone);
     Found.insert(Alive.begin(), Alive.end());
   }
   for (const Member &M : View.Members)
@@ -62,10 +62,10 @@
   }));
 }
 
-double retryPart(bool Carries, std::size_t Carriers, std::size_t Others) {
-  double OfOthers = Others == 0 ? 0 : NonCarrierRetryShare;
-  return Carries ? (1 - OfOthers) / double(Carriers)
-                 : OfOthers / double(std::max<std::size_t>(1, Others));
+double retryPart(bool IsEntryHost, std::size_t EntryHosts, std::size_t Others) {
+  double OfOthers = Others == 0 ? 0 : NonEntryHostRetryShare;
+  return IsEntryHost ? (1 - OfOthers) / double(EntryHosts)
+                     : OfOthers / double(std::max<std::size_t>(1, Others));
 }
 
 std::vector<Endpoint> addresses(const std::vector<const Member *> &Hosts) {
@@ -78,7 +78,8 @@
 
 } // namespace
 
-std::vector<Endpoint> entryAddresses(const FleetView &View, const Location &Caller,
+std::vector<Endpoint> entryAddresses(const FleetView &View,
+                                     const Location &Caller,
                                      const AllowedRegions &Regions) {
   const std::array<MemberFilter, 4> Scopes = {
       [&](const Member &M) { return M.Zone == Caller.Zone; },
@@ -87,24 +88,24 @@
       [](const Member &) { return true; }};
   for (MemberState State : {MemberState::Alive, MemberState::Suspect})
     for (const MemberFilter &Matches : Scopes)
-      if (auto Found = carriers(View, State, Matches); !Found.empty())
+      if (auto Found = entryHosts(View, State, Matches); !Found.empty())
         return addresses(Found);
   return {};
 }
 
-FleetShare sharingAmongCarriers(const FleetView &View, const HostId &Self,
-                             const Region &Here) {
-  std::set<const Member *> Carriers = allCarriers(View);
-  bool SelfCarries = std::ranges::any_of(
-      Carriers, [&](const Member *M) { return M->Id.Host == Self; });
-  std::size_t Others = servingDaemons(View, Self) - Carriers.size();
+FleetShare sharingAmongEntryHosts(const FleetView &View, const HostId &Self,
+                                  const Region &Here) {
+  std::set<const Member *> EntryHosts = allEntryHosts(View);
+  bool SelfIsEntryHost = std::ranges::any_of(
+      EntryHosts, [&](const Member *M) { return M->Id.Host == Self; });
+  std::size_t Others = servingDaemons(View, Self) - EntryHosts.size();
   FleetShare S;
-  S.RetryShare = retryPart(SelfCarries, Carriers.size(), Others);
+  S.RetryShare = retryPart(SelfIsEntryHost, EntryHosts.size(), Others);
   S.InRegion = 0;
   for (const Member &M : View.Members)
     if (M.Id.Host == Self)
-      Carriers.insert(&M);
-  for (const Member *M : Carriers)
+      EntryHosts.insert(&M);
+  for (const Member *M : EntryHosts)
     ++(M->Reg == Here ? S.InRegion : S.OutsideRegion);
   S.InRegion = std::max<std::size_t>(1, S.InRegion);
   return S;
@@ -120,9 +121,9 @@
   }
   if (2 * Up < Known)
     return S;
-  for (const Member *M : allCarriers(View))
+  for (const Member *M : allEntryHosts(View))
     if (M->State == MemberState::Alive)
-      S.Carriers.push_back({M->Id.Host, M->Reg});
+      S.EntryHosts.push_back({M->Id.Host, M->Reg});
   return S;
 }
 
--- a/packages/front/EntryAddresses.h
+++ b/packages/front/EntryAddresses.h
@@ -5,8 +5,8 @@
 // in it receives traffic. A caller is therefore given the daemons of its own
 // zone, and others only if that zone has none.
 //
-// Of these, only the carriers are returned: the few daemons that take the load
-// (CarrierChoice.h).
+// Of these, only the entry hosts are returned: the few daemons that take the
+// load (CarrierChoice.h).
 //
 // (The directory of package fleet serves callers that try a short list in
 // order, so it can place a distant address last.)
@@ -38,23 +38,24 @@
                const AllowedRegions &Regions = AllowedRegions::anywhere());
 
 /// Daemons that currently share the capacity of replicas. The connections to
-/// replicas and most of the retry allowance are shared by the carriers of all
-/// zones, by daemons that are leaving, and always by \p Self. Counting every
-/// daemon instead would leave a carrier of a mixed fleet (12 of 62 hosts carry)
-/// one connection to each replica, so that its second concurrent request goes
-/// to another region; and an allowance of 630 retries in ten seconds would give
-/// two to each of 295 daemons, most never used.
-FleetShare sharingAmongCarriers(const FleetView &View, const HostId &Self,
-                             const Region &Here);
+/// replicas and most of the retry allowance are shared by the entry hosts of
+/// all zones, by daemons that are leaving or suspected, and the connections
+/// always by \p Self too. Counting every daemon instead would leave an entry
+/// host of a mixed fleet (12 of its 62 hosts are entry hosts) one connection to
+/// each replica, so that its second concurrent request goes to another region;
+/// and an allowance of 630 retries in ten seconds would give two to each of 295
+/// daemons, most never used.
+FleetShare sharingAmongEntryHosts(const FleetView &View, const HostId &Self,
+                                  const Region &Here);
 
-/// Daemons that may send to cold replicas: the carriers. None when this daemon
-/// sees less than half of the fleet: it may be partitioned from the rest, which
-/// continues to send.
+/// Daemons that may send to cold replicas: the entry hosts. None when this
+/// daemon sees less than half of the fleet: it may be partitioned from the
+/// rest, which continues to send.
 WarmupSenders warmupSenders(const FleetView &View, const HostId &Self);
 
 /// Fraction of the constant retry allowance that is shared by daemons which are
-/// not carriers: callers with an older directory reply still use them.
-inline constexpr double NonCarrierRetryShare = 0.2;
+/// not entry hosts: callers with an older directory reply still use them.
+inline constexpr double NonEntryHostRetryShare = 0.2;
 
 /// Fraction of the retry allowance if all daemons had an equal part. A daemon
 /// uses it until it has been in the fleet for one window of the allowance.
--- a/packages/front/FleetLink.cpp
+++ b/packages/front/FleetLink.cpp
@@ -150,7 +150,7 @@
 }
 
 FleetShare FleetLink::sharing() const {
-  return sharingAmongCarriers(view(), Set.Host, Set.Here.Reg);
+  return sharingAmongEntryHosts(view(), Set.Host, Set.Here.Reg);
 }
 
 WarmupSenders FleetLink::warmupSenders() const {
--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -37,8 +37,9 @@
 /// Period of load measurements: several queries, even on a host with little
 /// load.
 constexpr Duration LoadPeriod = Seconds(1);
-/// A daemon with fewer requests than this carries no callers: some callers send
-/// a few requests to every daemon to check its configuration.
+/// A daemon that has handled fewer requests than this is not taken for an entry
+/// host and announces no load: some callers send a few requests to every daemon
+/// to check its configuration.
 constexpr std::uint64_t MinHandled = 20;
 
 /// Time after start until a daemon knows its fleet: 295 hosts that start
--- a/tests/correctness/EntryAddressesForCallers.cpp
+++ b/tests/correctness/EntryAddressesForCallers.cpp
@@ -1,4 +1,4 @@
-// Checks that callers are sent to the carriers of their zone, and to other
+// Checks that callers are sent to the entry hosts of their zone, and to other
 // zones only when their zone has none.
 #include "shallotshift/front.h"
 
@@ -40,7 +40,8 @@
   CHECK(ask("z1", "r") == List{A, B, C});
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "large hosts carry a zone of mixed sizes") {
+TEST_CASE_FIXTURE(ViewFixture,
+                  "large hosts are the entry hosts of a zone of mixed sizes") {
   Endpoint Big1 = add("z1", "r", 500), Big2 = add("z1", "r", 500);
   for (int I = 0; I < 10; ++I)
     add("z1", "r", 120);
@@ -97,7 +98,7 @@
 }
 
 TEST_CASE_FIXTURE(ViewFixture,
-                  "connections and most retries are shared by carriers") {
+                  "connections and most retries are shared by entry hosts") {
   for (const char *Zone : {"z1", "z2"}) {
     add(Zone, "r", 500);
     add(Zone, "r", 500);
@@ -105,15 +106,16 @@
       add(Zone, "r", 120);
   }
   add("z3", "q", 500);
-  FleetShare S = sharingAmongCarriers(View, HostId("h1"), Region("r"));
-  // Four fifths of the retries are for the five carriers, the rest for the
+  FleetShare S = sharingAmongEntryHosts(View, HostId("h1"), Region("r"));
+  // Four fifths of the retries are for the five entry hosts, the rest for the
   // other 16.
   CHECK(S == FleetShare{4, 1, 0.8 / 5});
   HostId Other("h3");
-  CHECK(sharingAmongCarriers(View, Other, Region("r")).RetryShare == 0.2 / 16);
+  CHECK(sharingAmongEntryHosts(View, Other, Region("r")).RetryShare ==
+        0.2 / 16);
   CHECK(equalRetryPart(View, Other) == 1.0 / 21);
-  // 63 connections: 9 for each of four carriers; with twenty carriers, one
-  // each.
+  // 63 connections: 9 for each of four entry hosts; with twenty entry hosts,
+  // one each.
   CHECK(connectionShare(63, Distance::SameZone, S) == 9);
   CHECK(connectionShare(63, Distance::SameZone, {20, 1, 1}) == 1);
 }
@@ -126,12 +128,12 @@
   for (int I = 0; I < 3; ++I)
     add("z1", "r", 120);
   // The leaving host still holds its connections.
-  CHECK(sharingAmongCarriers(View, HostId("h3"), Region("r")) ==
+  CHECK(sharingAmongEntryHosts(View, HostId("h3"), Region("r")) ==
         FleetShare{4, 0, 1.0 / 4});
   // The requesting daemon is counted even if it gets no callers.
   add("z1", "r", 500);
   add("z1", "r", 500);
-  CHECK(sharingAmongCarriers(View, HostId("h3"), Region("r")) ==
+  CHECK(sharingAmongEntryHosts(View, HostId("h3"), Region("r")) ==
         FleetShare{4, 0, 0.2 / 3});
 }
 
