--- a/packages/fleet/CarrierChoice.cpp
+++ b/packages/fleet/EntryHostChoice.cpp
@@ -1,5 +1,5 @@
-//===- CarrierChoice.cpp --------------------------------------------------===//
-#include "fleet/CarrierChoice.h"
+//===- EntryHostChoice.cpp ------------------------------------------------===//
+#include "fleet/EntryHostChoice.h"
 
 #include <algorithm>
 #include <functional>
--- a/packages/fleet/CarrierChoice.h
+++ b/packages/fleet/EntryHostChoice.h
@@ -1,4 +1,4 @@
-//===- CarrierChoice.h - Selects the entry hosts of a zone ------*- C++ -*-===//
+//===- EntryHostChoice.h - Selects the entry hosts of a zone ----*- C++ -*-===//
 //
 // Entry hosts are the daemons that a zone's callers are sent to. Only as many
 // as the load needs are selected, the largest first. Spreading callers over
@@ -19,8 +19,8 @@
 // other callers.
 //
 //===----------------------------------------------------------------------===//
-#ifndef SHALLOTSHIFT_FLEET_CARRIERCHOICE_H
-#define SHALLOTSHIFT_FLEET_CARRIERCHOICE_H
+#ifndef SHALLOTSHIFT_FLEET_ENTRYHOSTCHOICE_H
+#define SHALLOTSHIFT_FLEET_ENTRYHOSTCHOICE_H
 
 #include "shallotshift/base.h"
 
@@ -61,4 +61,4 @@
 
 } // namespace shallot
 
-#endif // SHALLOTSHIFT_FLEET_CARRIERCHOICE_H
+#endif // SHALLOTSHIFT_FLEET_ENTRYHOSTCHOICE_H
--- a/packages/fleet/include/shallotshift/fleet.h
+++ b/packages/fleet/include/shallotshift/fleet.h
@@ -2,7 +2,7 @@
 //
 // The public header of package fleet: group membership and failure detection
 // (Membership.h, GossipMessage.h), the addresses that callers connect to
-// (EntryDirectory.h) and the hosts that serve them (CarrierChoice.h,
+// (EntryDirectory.h) and the hosts that serve them (EntryHostChoice.h,
 // LoadLevel.h), the start and shutdown of a daemon (Lifecycle.h), and the
 // distribution of the configuration (ConfigSync.h, WatcherChoice.h).
 //
@@ -10,9 +10,9 @@
 #ifndef SHALLOTSHIFT_FLEET_H
 #define SHALLOTSHIFT_FLEET_H
 
-#include "fleet/CarrierChoice.h"
 #include "fleet/ConfigSync.h"
 #include "fleet/EntryDirectory.h"
+#include "fleet/EntryHostChoice.h"
 #include "fleet/GossipMessage.h"
 #include "fleet/Lifecycle.h"
 #include "fleet/LoadLevel.h"
--- a/packages/front/EntryAddresses.h
+++ b/packages/front/EntryAddresses.h
@@ -6,7 +6,7 @@
 // zone, and others only if that zone has none.
 //
 // Of these, only the entry hosts are returned: the few daemons that take the
-// load (CarrierChoice.h).
+// load (EntryHostChoice.h).
 //
 // (The directory of package fleet serves callers that try a short list in
 // order, so it can place a distant address last.)
