--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -10,8 +10,8 @@
 #define SHALLOTSHIFT_FRONT_SERVINGFEED_H
 
 #include "front/FeedServer.h"
-#include "front/FollowedKind.h"
 #include "front/StoreEntries.h"
+#include "front/WatchedKind.h"
 #include "shallotshift/crashguard.h"
 #include "shallotshift/store.h"
 
@@ -313,7 +313,8 @@
     if (Name)
       logEvent(LogLevel::Info, "quarantine_record",
                {{"fingerprint", Name->str()},
-                {"standing", std::string(quarantineStateName(Table.quarantineState(*Name)))},
+                {"standing", std::string(quarantineStateName(
+                                 Table.quarantineState(*Name)))},
                 {"revision", std::to_string(C.Object.Revision)}});
   }
 
--- a/packages/front/FollowedKind.h
+++ b/packages/front/WatchedKind.h
@@ -1,12 +1,12 @@
-//===- FollowedKind.h - Watch of one object kind ----------------*- C++ -*-===//
+//===- WatchedKind.h - Watch of one object kind -----------------*- C++ -*-===//
 //
 // Watches the objects of one kind, through the store or a peer, and keeps the
 // state that decides when to switch from a stale source: how long peers have
 // been ahead, and which of their revisions has already been requested.
 //
 //===----------------------------------------------------------------------===//
-#ifndef SHALLOTSHIFT_FRONT_FOLLOWEDKIND_H
-#define SHALLOTSHIFT_FRONT_FOLLOWEDKIND_H
+#ifndef SHALLOTSHIFT_FRONT_WATCHEDKIND_H
+#define SHALLOTSHIFT_FRONT_WATCHEDKIND_H
 
 #include "front/CatchUp.h"
 #include "front/FrontDaemon.h"
@@ -108,4 +108,4 @@
 
 } // namespace shallot
 
-#endif // SHALLOTSHIFT_FRONT_FOLLOWEDKIND_H
+#endif // SHALLOTSHIFT_FRONT_WATCHEDKIND_H
--- a/packages/front/include/shallotshift/front.h
+++ b/packages/front/include/shallotshift/front.h
@@ -15,12 +15,12 @@
 #include "front/FeedServer.h"
 #include "front/FeedSources.h"
 #include "front/FeedWire.h"
-#include "front/FollowedKind.h"
 #include "front/FrontDaemon.h"
 #include "front/FrontSettings.h"
 #include "front/HeaderNames.h"
 #include "front/RelayedStore.h"
 #include "front/ReplyReading.h"
 #include "front/ServingFeed.h"
+#include "front/WatchedKind.h"
 
 #endif // SHALLOTSHIFT_FRONT_H
