--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -2,7 +2,7 @@
 //
 // Watches the configuration, the registrations of replicas, the evacuations of
 // zones and the quarantine records of requests that crash replicas, in the
-// store or through a peer. Applies them to a FrontDaemon (StoreEntries.h)
+// store or through a peer. Applies them to a FrontDaemon (StoreObjectApplier.h)
 // and serves them to peers.
 //
 //===----------------------------------------------------------------------===//
@@ -10,7 +10,7 @@
 #define SHALLOTSHIFT_FRONT_SERVINGFEED_H
 
 #include "front/FeedServer.h"
-#include "front/StoreEntries.h"
+#include "front/StoreObjectApplier.h"
 #include "front/WatchedKind.h"
 #include "shallotshift/crashguard.h"
 #include "shallotshift/store.h"
--- a/packages/front/StoreEntries.cpp
+++ b/packages/front/StoreObjectApplier.cpp
@@ -1,5 +1,5 @@
-//===- StoreEntries.cpp ---------------------------------------------------===//
-#include "front/StoreEntries.h"
+//===- StoreObjectApplier.cpp ---------------------------------------------===//
+#include "front/StoreObjectApplier.h"
 
 namespace shallot {
 
--- a/packages/front/StoreEntries.h
+++ b/packages/front/StoreObjectApplier.h
@@ -1,4 +1,4 @@
-//===- StoreEntries.h - Applies store objects -------------------*- C++ -*-===//
+//===- StoreObjectApplier.h - Applies store objects -------------*- C++ -*-===//
 //
 // Decodes the objects that the store watches deliver and applies them to a
 // FrontDaemon: configurations, registrations of replicas and evacuations. The
@@ -7,8 +7,8 @@
 // stays.
 //
 //===----------------------------------------------------------------------===//
-#ifndef SHALLOTSHIFT_FRONT_STOREENTRIES_H
-#define SHALLOTSHIFT_FRONT_STOREENTRIES_H
+#ifndef SHALLOTSHIFT_FRONT_STOREOBJECTAPPLIER_H
+#define SHALLOTSHIFT_FRONT_STOREOBJECTAPPLIER_H
 
 #include "front/FrontDaemon.h"
 #include "shallotshift/store.h"
@@ -58,4 +58,4 @@
 
 } // namespace shallot
 
-#endif // SHALLOTSHIFT_FRONT_STOREENTRIES_H
+#endif // SHALLOTSHIFT_FRONT_STOREOBJECTAPPLIER_H
