--- a/packages/front/FeedAnswers.cpp
+++ b/packages/front/FeedReplyCache.cpp
@@ -1,5 +1,5 @@
-//===- FeedAnswers.cpp ----------------------------------------------------===//
-#include "front/FeedAnswers.h"
+//===- FeedReplyCache.cpp -------------------------------------------------===//
+#include "front/FeedReplyCache.h"
 
 #include <algorithm>
 #include <zlib.h>
--- a/packages/front/FeedAnswers.h
+++ b/packages/front/FeedReplyCache.h
@@ -1,4 +1,4 @@
-//===- FeedAnswers.h - One reply for many peers -----------------*- C++ -*-===//
+//===- FeedReplyCache.h - One reply for many peers --------------*- C++ -*-===//
 //
 // Sixteen peers request the same configuration at the same moment. Sixteen
 // times 0.7 MB take 6 s on a link of 14 Mbit/s, longer than a change may take
@@ -9,8 +9,8 @@
 //   A.reply(Replies.reply(Key, Now, [&] { return writePage(P); }));
 //
 //===----------------------------------------------------------------------===//
-#ifndef SHALLOTSHIFT_FRONT_FEEDANSWERS_H
-#define SHALLOTSHIFT_FRONT_FEEDANSWERS_H
+#ifndef SHALLOTSHIFT_FRONT_FEEDREPLYCACHE_H
+#define SHALLOTSHIFT_FRONT_FEEDREPLYCACHE_H
 
 #include "shallotshift/net.h"
 
@@ -69,4 +69,4 @@
 
 } // namespace shallot
 
-#endif // SHALLOTSHIFT_FRONT_FEEDANSWERS_H
+#endif // SHALLOTSHIFT_FRONT_FEEDREPLYCACHE_H
--- a/packages/front/FeedServer.h
+++ b/packages/front/FeedServer.h
@@ -11,7 +11,7 @@
 #ifndef SHALLOTSHIFT_FRONT_FEEDSERVER_H
 #define SHALLOTSHIFT_FRONT_FEEDSERVER_H
 
-#include "front/FeedAnswers.h"
+#include "front/FeedReplyCache.h"
 #include "front/FeedWire.h"
 #include "shallotshift/http1.h"
 
