--- a/tests/FrontFixture.h
+++ b/tests/FrontFixture.h
@@ -8,7 +8,7 @@
 #define SHALLOTSHIFT_TESTS_FRONTFIXTURE_H
 
 #include "NetFixture.h"
-#include "platform/Joining.h"
+#include "platform/DeploymentAdapter.h"
 #include "platform/WireStore.h"
 #include "standins/RegisteredReplica.h"
 
