--- a/packages/query/QueryMachine.h
+++ b/packages/query/QueryMachine.h
@@ -78,7 +78,7 @@
   void reask(std::size_t I, Instant Now);
   void giveUp(SubQuery &Sub, ResultCode Reason, std::string Text, Instant Now);
 
-  // Limits for a search that may crash upstreams (QueryCaution.cpp).
+  // Limits for a search that may crash upstreams (QuerySendRestriction.cpp).
   bool anyOpen() const;
   bool isSuspect() const;
   bool crashLimitReached() const;
