--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -1,7 +1,7 @@
 //===- ForwardRun.cpp - Sends, retries and hedges of a request ------------===//
 //
-// ForwardAnswer.cpp decides when and how it answers, ForwardCaution.cpp what is
-// held back of a suspected request.
+// ForwardAnswer.cpp decides when and how it answers, ForwardSendRestriction.cpp
+// what is held back of a suspected request.
 //
 //===----------------------------------------------------------------------===//
 #include "forward/ForwardRun.h"
--- a/packages/forward/ForwardCaution.cpp
+++ b/packages/forward/ForwardSendRestriction.cpp
@@ -1,4 +1,4 @@
-//===- ForwardCaution.cpp - Sends of requests suspected of crashes --------===//
+//===- ForwardSendRestriction.cpp - Sends of suspected requests -----------===//
 //
 // Limits the sends of a request that may be the cause of crashes of replicas.
 //
