--- a/tests/front.cmake
+++ b/tests/front.cmake
@@ -1,6 +1,6 @@
 shallot_test(front_correctness PACKAGES front LABELS correctness
   SOURCES correctness/EntryAddressesForCallers.cpp
-          correctness/FeedWordsSurviveTheWire.cpp)
+          correctness/FeedMessagesRoundTrip.cpp)
 shallot_test(front_failure PACKAGES front LABELS failure
   SOURCES failure/FeedSourcesFailOver.cpp
           failure/CatchUpIsPatient.cpp
