--- a/tests/fleet.cmake
+++ b/tests/fleet.cmake
@@ -1,6 +1,6 @@
 shallot_test(fleet_correctness PACKAGES fleet LABELS correctness
   SOURCES correctness/MembersConverge.cpp
-          correctness/CarriersFollowTheLoad.cpp
+          correctness/EntryHostsFollowLoad.cpp
           correctness/EntryAddressesAreSpread.cpp
           correctness/DaemonStartsWhenItCanAnswer.cpp)
 shallot_test(fleet_failure PACKAGES fleet LABELS failure
