--- a/tests/front.cmake
+++ b/tests/front.cmake
@@ -3,7 +3,7 @@
           correctness/FeedMessagesRoundTrip.cpp)
 shallot_test(front_failure PACKAGES front LABELS failure
   SOURCES failure/FeedSourcesFailOver.cpp
-          failure/CatchUpIsPatient.cpp
+          failure/CatchUpWaitsForArrivingData.cpp
           failure/ColdReplicasInAFleet.cpp
           failure/DeadHostsAreNotNamed.cpp
           failure/FarMembersAreProbedSeldom.cpp
