--- a/packages/front/ServingFeed.h
+++ b/packages/front/ServingFeed.h
@@ -2,7 +2,7 @@
 //
 // Watches the configuration, the registrations of replicas, the evacuations of
 // zones and the quarantine records of requests that crash replicas, in the
-// store or through a peer. Applies them to a FrontDaemon (StoreEntries.h)
+// store or through a peer. Applies them to a FrontDaemon (StoreObjectApplier.h)
 // and serves them to peers.
 //
 //===----------------------------------------------------------------------===//
@@ -10,8 +10,8 @@
 #define SHALLOTSHIFT_FRONT_SERVINGFEED_H
 
 #include "front/FeedServer.h"
-#include "front/FollowedKind.h"
-#include "front/StoreEntries.h"
+#include "front/StoreObjectApplier.h"
+#include "front/WatchedKind.h"
 #include "shallotshift/crashguard.h"
 #include "shallotshift/store.h"
 
@@ -314,7 +314,8 @@
     if (Name)
       logEvent(LogLevel::Info, "quarantine_record",
                {{"fingerprint", Name->str()},
-                {"standing", std::string(quarantineStateName(Table.quarantineState(*Name)))},
+                {"standing", std::string(quarantineStateName(
+                                 Table.quarantineState(*Name)))},
                 {"revision", std::to_string(C.Object.Revision)}});
   }
 
--- a/tests/front.cmake
+++ b/tests/front.cmake
@@ -1,12 +1,12 @@
 shallot_test(front_correctness PACKAGES front LABELS correctness
   SOURCES correctness/EntryAddressesForCallers.cpp
-          correctness/FeedWordsSurviveTheWire.cpp)
+          correctness/FeedMessagesRoundTrip.cpp)
 shallot_test(front_failure PACKAGES front LABELS failure
   SOURCES failure/FeedSourcesFailOver.cpp
-          failure/CatchUpIsPatient.cpp
+          failure/CatchUpWaitsForArrivingData.cpp
           failure/ColdReplicasInAFleet.cpp
           failure/DeadHostsAreNotNamed.cpp
           failure/FarMembersAreProbedSeldom.cpp
-          failure/WordsDoNotCircle.cpp)
+          failure/RelayedRepliesDoNotLoop.cpp)
 shallot_test(front_error PACKAGES front LABELS error
   SOURCES error/FrontSettingsAreChecked.cpp)
