--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -28,9 +28,9 @@
 //
 // A request whose replicas crash may be the cause of the crashes. From the
 // first crash until one of its sends succeeds, it is sent to one replica at a
-// time, is not hedged, and fails when CrashThreshold replicas have crashed while
-// they had it (package quarantine). A request that only ran beside the cause
-// continues with all parts as soon as one reply arrives.
+// time, is not hedged, and fails when CrashThreshold replicas have crashed
+// while they had it (package quarantine). A request that only ran beside the
+// cause continues with all parts as soon as one reply arrives.
 //
 // Usage: call begin() once, replied() for each send that ended, and tick() when
 // nextTick() has come, and carry out the output of each. After the answer, call
--- a/packages/forward/ForwardSendRestriction.cpp
+++ b/packages/forward/ForwardSendRestriction.cpp
@@ -20,7 +20,8 @@
 /// attempt. It is therefore sent to one replica at a time until a send
 /// succeeds.
 bool ForwardRun::suspected() const {
-  bool Suspected = Request.CautionLevel != SendRestriction::None || Stats.Crashed > 0;
+  bool Suspected =
+      Request.CautionLevel != SendRestriction::None || Stats.Crashed > 0;
   return Suspected && !succeeded();
 }
 
--- a/packages/front/RequestHandlerImpl.h
+++ b/packages/front/RequestHandlerImpl.h
@@ -41,7 +41,8 @@
        ReplicaRegistry &Replicas, ForwardRules Rules, Random &Rng,
        Metrics &Meter)
       : Timers(Timers), Names(std::move(Names)),
-        Pool(Loop, Timers, {}), Shared{Replicas, Budgets, ServiceTimes, Rng, Rules},
+        Pool(Loop, Timers, {}), Shared{Replicas, Budgets, ServiceTimes, Rng,
+                                       Rules},
         Meter(Meter), Crashes(Pool, Timers), Gate(Loop, Meter) {}
   ~Impl() { Timers.cancel(AdmissionTimer); }
   Impl(const Impl &) = delete;
--- a/packages/front/RequestReading.h
+++ b/packages/front/RequestReading.h
@@ -30,7 +30,7 @@
 
 /// Identifies an attempt for \p Host on the route \p Route.
 RequestAttempt nameRequest(const CallerRequest &R, std::string_view Host,
-                         std::string Route, std::string Id);
+                           std::string Route, std::string Id);
 
 } // namespace shallot
 
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -14,8 +14,8 @@
 // - a reply to an attempt that is not open in this run is ignored;
 // - a search that can no longer succeed fails immediately, not at its deadline;
 // - after an upstream crashes while running the search, and until an attempt
-//   succeeds, a request is sent only when no other is open; after CrashThreshold
-//   crashes the search is abandoned (package quarantine).
+//   succeeds, a request is sent only when no other is open; after
+//   CrashThreshold crashes the search is abandoned (package quarantine).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUERY_QUERYRUN_H
--- a/packages/query/QuerySendRestriction.cpp
+++ b/packages/query/QuerySendRestriction.cpp
@@ -16,7 +16,8 @@
 /// upstreams within one request. Therefore a suspected search is sent only when
 /// no other attempt is open, until an attempt succeeds.
 bool QueryMachine::isSuspect() const {
-  bool Suspected = Spec.Care != SendRestriction::None || Sender->cost().Crashed > 0;
+  bool Suspected =
+      Spec.Care != SendRestriction::None || Sender->cost().Crashed > 0;
   return Suspected && !AnyAttemptSucceeded;
 }
 
@@ -91,7 +92,7 @@
   if (Sender->cost().Crashed == 0)
     return finish(codeAtEnd(false), Now);
   finish(Spec.Care == SendRestriction::OneSend ? ResultCode::RequestCrashes
-                                       : ResultCode::ReplicasCrashed,
+                                               : ResultCode::ReplicasCrashed,
          Now);
 }
 
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -61,7 +61,8 @@
       Spec.Parts = StrategyParts::of(Strategy::Baseline);
     CrashesUpstreams = below(D.Rng, 6) == 0;
     if (below(D.Rng, 6) == 0) {
-      Spec.Care = below(D.Rng, 2) == 0 ? SendRestriction::OneAtATime : SendRestriction::OneSend;
+      Spec.Care = below(D.Rng, 2) == 0 ? SendRestriction::OneAtATime
+                                       : SendRestriction::OneSend;
       Spec.CrashedBefore = 1 + below(D.Rng, 3);
     }
     auto &Budgets =
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -33,7 +33,8 @@
     S.ReplicaCrashed = true;
     return S;
   }
-  ForwardRun careful(const Route &R, SendRestriction CautionLevel, unsigned Before) {
+  ForwardRun careful(const Route &R, SendRestriction CautionLevel,
+                     unsigned Before) {
     ForwardRun Run = run(R);
     Run.setCaution(CautionLevel, Before);
     return Run;
@@ -115,7 +116,8 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture, "a trial is one send") {
-  ForwardRun R = careful(route(shards()), SendRestriction::OneSend, CrashThreshold);
+  ForwardRun R =
+      careful(route(shards()), SendRestriction::OneSend, CrashThreshold);
   REQUIRE(R.begin(Shared, Now).Start.size() == 1);
   SUBCASE("a crash is final, without a Retry-After time") {
     RunOutput Out = reply(R, 0, crashed());
--- a/tests/failure/CrashingSearchesAreSentOnce.cpp
+++ b/tests/failure/CrashingSearchesAreSentOnce.cpp
@@ -16,7 +16,8 @@
 }
 
 struct Search {
-  explicit Search(SendRestriction Care = SendRestriction::None, unsigned Before = 0,
+  explicit Search(SendRestriction Care = SendRestriction::None,
+                  unsigned Before = 0,
                   ClassPolicy Policy = {.HedgeBudgetPercent = 100,
                                         .RetryBudgetPercent = 100}) {
     D.teach(*C, {{41, 7}}, at(-10));
