--- a/packages/daemon/SearchService.cpp
+++ b/packages/daemon/SearchService.cpp
@@ -147,7 +147,7 @@
   Spec.Body = R.Request.Body;
   Spec.TraceParent = R.Request.TraceParent;
   Spec.Parts = StrategyParts::of(Treatment);
-  Spec.Care = Crashes.restrictionFor(R.Name, R.Trial);
+  Spec.Restriction = Crashes.restrictionFor(R.Name, R.Trial);
   Spec.CrashedBefore = Crashes.crashesOf(R.Name);
   return Spec;
 }
--- a/packages/forward/ForwardAnswer.cpp
+++ b/packages/forward/ForwardAnswer.cpp
@@ -153,8 +153,7 @@
   if (NothingRan)
     finish(Out, LocalAnswer{ResultCode::UpstreamShed, NoReplicaRetry, Why},
            Now);
-  else if (Request.CautionLevel == SendRestriction::OneSend &&
-           Stats.Crashed > 0)
+  else if (Request.Restriction == SendRestriction::OneSend && Stats.Crashed > 0)
     finish(Out, LocalAnswer{ResultCode::RequestCrashes, {}, Why}, Now);
   else if (Request.Matched->Kind == RetrySemantics::AtMostOnce)
     finish(Out, LocalAnswer{ResultCode::OutcomeUnknown, {}, Why}, Now);
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -109,7 +109,7 @@
   const Route *Matched = nullptr; ///< A route of Config.
   Instant Arrived;
   Duration CallerWaits{}; ///< The caller's own deadline, from Arrived.
-  SendRestriction CautionLevel = SendRestriction::None;
+  SendRestriction Restriction = SendRestriction::None;
   unsigned CrashedBefore = 0; ///< Replicas that crashed in earlier attempts.
 };
 
@@ -172,8 +172,8 @@
 
   /// Sets the caution after \p Before replicas crashed under earlier attempts.
   /// Call it before begin().
-  void setCaution(SendRestriction CautionLevel, unsigned Before) {
-    Request.CautionLevel = CautionLevel;
+  void setRestriction(SendRestriction Restriction, unsigned Before) {
+    Request.Restriction = Restriction;
     Request.CrashedBefore = Before;
   }
   /// A newer configuration allows only \p Regions for this route; applies to
--- a/packages/forward/ForwardSendRestriction.cpp
+++ b/packages/forward/ForwardSendRestriction.cpp
@@ -21,7 +21,7 @@
 /// succeeds.
 bool ForwardRun::suspected() const {
   bool Suspected =
-      Request.CautionLevel != SendRestriction::None || Stats.Crashed > 0;
+      Request.Restriction != SendRestriction::None || Stats.Crashed > 0;
   return Suspected && !succeeded();
 }
 
@@ -31,7 +31,7 @@
 bool ForwardRun::crashLimitReached() const {
   if (!suspected() || OpenSends > 0)
     return false;
-  if (Request.CautionLevel == SendRestriction::OneSend)
+  if (Request.Restriction == SendRestriction::OneSend)
     return !Sends.empty();
   return Stats.Crashed > 0 &&
          Request.CrashedBefore + Stats.Crashed >= CrashThreshold;
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -89,8 +89,8 @@
     return reject(J, quarantinedAnswer());
   if (Now == QuarantineState::OnTrial && !J->Trial)
     return reject(J, trialUnavailableAnswer());
-  J->Run.setCaution(Gate.restrictionFor(J->Name, J->Trial),
-                    Gate.crashesOf(J->Name));
+  J->Run.setRestriction(Gate.restrictionFor(J->Name, J->Trial),
+                        Gate.crashesOf(J->Name));
   apply(J, J->Run.begin(Shared, Timers.now()));
 }
 
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -71,7 +71,7 @@
   std::string Body;
   std::string TraceParent;
   StrategyParts Parts;
-  SendRestriction Care = SendRestriction::None;
+  SendRestriction Restriction = SendRestriction::None;
   unsigned CrashedBefore = 0; ///< Upstreams crashed by earlier attempts at it.
 };
 
--- a/packages/query/QuerySendRestriction.cpp
+++ b/packages/query/QuerySendRestriction.cpp
@@ -17,7 +17,7 @@
 /// no other attempt is open, until an attempt succeeds.
 bool QueryMachine::isSuspect() const {
   bool Suspected =
-      Spec.Care != SendRestriction::None || Sender->cost().Crashed > 0;
+      Spec.Restriction != SendRestriction::None || Sender->cost().Crashed > 0;
   return Suspected && !AnyAttemptSucceeded;
 }
 
@@ -28,7 +28,7 @@
   if (Finished || !isSuspect() || anyOpen())
     return false;
   unsigned Crashed = Sender->cost().Crashed;
-  if (Spec.Care == SendRestriction::OneSend)
+  if (Spec.Restriction == SendRestriction::OneSend)
     return Sender->cost().reachedUpstreams();
   return Crashed > 0 && Spec.CrashedBefore + Crashed >= CrashThreshold;
 }
@@ -91,8 +91,9 @@
              Now);
   if (Sender->cost().Crashed == 0)
     return finish(codeAtEnd(false), Now);
-  finish(Spec.Care == SendRestriction::OneSend ? ResultCode::RequestCrashes
-                                               : ResultCode::ReplicasCrashed,
+  finish(Spec.Restriction == SendRestriction::OneSend
+             ? ResultCode::RequestCrashes
+             : ResultCode::ReplicasCrashed,
          Now);
 }
 
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -61,8 +61,8 @@
       Spec.Parts = StrategyParts::of(Strategy::Baseline);
     CrashesUpstreams = below(D.Rng, 6) == 0;
     if (below(D.Rng, 6) == 0) {
-      Spec.Care = below(D.Rng, 2) == 0 ? SendRestriction::OneAtATime
-                                       : SendRestriction::OneSend;
+      Spec.Restriction = below(D.Rng, 2) == 0 ? SendRestriction::OneAtATime
+                                              : SendRestriction::OneSend;
       Spec.CrashedBefore = 1 + below(D.Rng, 3);
     }
     auto &Budgets =
@@ -178,10 +178,10 @@
   /// is known to crash upstreams.
   void checkCrashes(const QuerySpec &Spec) {
     std::size_t Most = SentAtFirstCrash + CrashThreshold - 1;
-    if (Spec.Care == SendRestriction::OneAtATime)
+    if (Spec.Restriction == SendRestriction::OneAtATime)
       Most =
           std::max(CrashThreshold, Spec.CrashedBefore + 1) - Spec.CrashedBefore;
-    if (Spec.Care == SendRestriction::OneSend)
+    if (Spec.Restriction == SendRestriction::OneSend)
       Most = 1;
     CHECK(CrashedUpstreams.size() <= Most);
     CHECK(O.Answers.front().Records.empty());
--- a/tests/failure/CrashingRequestsAreSentOnce.cpp
+++ b/tests/failure/CrashingRequestsAreSentOnce.cpp
@@ -33,10 +33,10 @@
     S.ReplicaCrashed = true;
     return S;
   }
-  ForwardRun careful(const Route &R, SendRestriction CautionLevel,
+  ForwardRun careful(const Route &R, SendRestriction Restriction,
                      unsigned Before) {
     ForwardRun Run = run(R);
-    Run.setCaution(CautionLevel, Before);
+    Run.setRestriction(Restriction, Before);
     return Run;
   }
   RunOutput reply(ForwardRun &R, unsigned Send, SendResult Result) {
--- a/tests/failure/CrashingSearchesAreSentOnce.cpp
+++ b/tests/failure/CrashingSearchesAreSentOnce.cpp
@@ -16,7 +16,7 @@
 }
 
 struct Search {
-  explicit Search(SendRestriction Care = SendRestriction::None,
+  explicit Search(SendRestriction Restriction = SendRestriction::None,
                   unsigned Before = 0,
                   ClassPolicy Policy = {.HedgeBudgetPercent = 100,
                                         .RetryBudgetPercent = 100}) {
@@ -27,7 +27,7 @@
               Policy.RetryBudgetPercent)
           .Retries.earn(10);
     QuerySpec Spec = makeSpec(C, Policy, at(1000));
-    Spec.Care = Care;
+    Spec.Restriction = Restriction;
     Spec.CrashedBefore = Before;
     Run.emplace(QueryRun::make(std::move(Spec), D.tools()).value());
     O.take(Run->start(at(0)));
