--- a/packages/action/ActionTypes.h
+++ b/packages/action/ActionTypes.h
@@ -1,5 +1,4 @@
-//===- ActionTypes.h - Requests, outcomes and messages ---------*- C++ -*-===//
-//-*-===//
+//===- ActionTypes.h - Requests, outcomes and messages ----------*- C++ -*-===//
 //
 // An action is a request that must not run twice, such as a reservation or a
 // booking. Its identity is the tenant and the Idempotency-Key together. These
--- a/packages/daemon/SlotScheduler.h
+++ b/packages/daemon/SlotScheduler.h
@@ -1,5 +1,4 @@
 //===- SlotScheduler.h - Work on upstreams with slots held here -*- C++ -*-===//
-//-*-===//
 //
 // Every sub-request to an upstream, our own and those that peers relay, passes
 // one SlotQueue at the daemon that holds the slot. That is what keeps the
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -43,7 +43,7 @@
 
 #include "forward/ReplicaRegistry.h"
 #include "forward/RetryBudget.h"
-#include "forward/WorkEstimate.h"
+#include "forward/ServiceTimeEstimate.h"
 #include "shallotshift/limits.h"
 #include "shallotshift/quarantine.h"
 
--- a/packages/forward/WorkEstimate.cpp
+++ b/packages/forward/ServiceTimeEstimate.cpp
@@ -1,5 +1,5 @@
-//===- WorkEstimate.cpp --------------------------------------------------===//
-#include "forward/WorkEstimate.h"
+//===- ServiceTimeEstimate.cpp --------------------------------------------===//
+#include "forward/ServiceTimeEstimate.h"
 
 #include <algorithm>
 
--- a/packages/forward/WorkEstimate.h
+++ b/packages/forward/ServiceTimeEstimate.h
@@ -1,12 +1,12 @@
-//===- WorkEstimate.h - Estimated service times of requests -----*- C++ -*-===//
+//===- ServiceTimeEstimate.h - Estimates of service times -------*- C++ -*-===//
 //
 // The median service time of the requests of one route at replicas, learned
 // from answers. A mean would be raised by a replica that is ten times too slow,
 // so that its answers would look usual and no longer be hedged.
 //
 //===----------------------------------------------------------------------===//
-#ifndef SHALLOTSHIFT_FORWARD_WORKESTIMATE_H
-#define SHALLOTSHIFT_FORWARD_WORKESTIMATE_H
+#ifndef SHALLOTSHIFT_FORWARD_SERVICETIMEESTIMATE_H
+#define SHALLOTSHIFT_FORWARD_SERVICETIMEESTIMATE_H
 
 #include "shallotshift/base.h"
 
@@ -46,4 +46,4 @@
 
 } // namespace shallot
 
-#endif // SHALLOTSHIFT_FORWARD_WORKESTIMATE_H
+#endif // SHALLOTSHIFT_FORWARD_SERVICETIMEESTIMATE_H
--- a/packages/forward/include/shallotshift/forward.h
+++ b/packages/forward/include/shallotshift/forward.h
@@ -6,7 +6,7 @@
 //   Replica.h, IncarnationTable.h, ReplicaRegistry.h
 //                               replicas, their incarnations, replica selection
 //   WarmupShare.h               which daemon sends to a cold replica
-//   RetryBudget.h, WorkEstimate.h
+//   RetryBudget.h, ServiceTimeEstimate.h
 //                               retry budget and service time estimates
 //   ForwardRun.h                one request from arrival to answer
 //   RecordMerge.h               merging of the shards' records
@@ -23,7 +23,7 @@
 #include "forward/RetryBudget.h"
 #include "forward/Route.h"
 #include "forward/RouteAdmission.h"
+#include "forward/ServiceTimeEstimate.h"
 #include "forward/WarmupShare.h"
-#include "forward/WorkEstimate.h"
 
 #endif // SHALLOTSHIFT_FORWARD_H
--- a/tests/AdmissionLedger.h
+++ b/tests/AdmissionLedger.h
@@ -1,5 +1,4 @@
 //===- AdmissionLedger.h - The end of every queue entry ---------*- C++ -*-===//
-//-*-===//
 //
 // Follows the verdicts and events of a queue and checks that each entry ends
 // exactly once: started, refused, or cancelled while it waited.
--- a/tests/AllocationFixture.h
+++ b/tests/AllocationFixture.h
@@ -1,5 +1,4 @@
 //===- AllocationFixture.h - Configurations and fleets ----------*- C++ -*-===//
-//-*-===//
 //
 // Made-up services, upstreams and daemons for the tests and benches of package
 // limits.
--- a/tests/StandinFixture.h
+++ b/tests/StandinFixture.h
@@ -1,5 +1,4 @@
 //===- StandinFixture.h - A loop and a client for stand-ins -----*- C++ -*-===//
-//-*-===//
 #ifndef SHALLOTSHIFT_TESTS_STANDINFIXTURE_H
 #define SHALLOTSHIFT_TESTS_STANDINFIXTURE_H
 
