--- a/packages/model/Document.h
+++ b/packages/model/Document.h
@@ -1,4 +1,4 @@
-//===- Document.h - JSON encoding of the model -----------------*- C++ -*-===//
+//===- Document.h - JSON encoding of the model ------------------*- C++ -*-===//
 //
 // Every error gives the field, the value and the allowed values. Unknown fields
 // are errors. The encoding is canonical (sorted keys, no spaces), so that equal
@@ -27,8 +27,8 @@
 std::string encode(const Preset &P);
 std::string encode(const Head &H);
 
-/// Fail with MalformedJson, UnknownField, MissingField, WrongType or an error
-/// of the type's make().
+/// Fail with BodyTooLarge, MalformedJson, UnknownKind, UnknownField,
+/// MissingField, WrongType, OutOfRange or an error of the type's make().
 Result<Group> decodeGroup(std::string_view Json);
 Result<Preset> decodePreset(std::string_view Json);
 Result<Head> decodeHead(std::string_view Json);
@@ -94,7 +94,7 @@
 struct PreparedChange {
   ConfigPtr After;
   std::string HeadJson;
-  /// Content hash to JSON, of the blobs that are not stored yet.
+  /// Content hash to JSON, of the blobs that \p Before does not reference.
   std::map<std::string, std::string> NewBlobs;
 };
 
--- a/packages/model/Head.h
+++ b/packages/model/Head.h
@@ -1,4 +1,4 @@
-//===- Head.h - Root object of a configuration -----------------*- C++ -*-===//
+//===- Head.h - Root object of a configuration ------------------*- C++ -*-===//
 //
 // A configuration is a two-level hash tree in the platform's object service:
 //
@@ -6,8 +6,7 @@
 //     groups   "khan-uul/claims-ledger" -> content hash
 //     presets  "peak"                   -> content hash
 //     the preset in force, the generation, the last changes
-//   config/blob/HASH     immutable content, written before the head refers to
-//   it
+//   config/blob/HASH     immutable, written before the head refers to it
 //
 // A change writes its new blobs first and then replaces the head, so it takes
 // effect atomically, however many objects it modifies. The generation increases
--- a/packages/model/Immutable.h
+++ b/packages/model/Immutable.h
@@ -1,4 +1,4 @@
-//===- Immutable.h - Base of validated immutable values --------*- C++ -*-===//
+//===- Immutable.h - Base of validated immutable values ---------*- C++ -*-===//
 //
 // Each validated type of this package consists of a plain struct of fields and
 // a class that a static make() creates from it after validation:
--- a/packages/model/JsonFields.h
+++ b/packages/model/JsonFields.h
@@ -1,9 +1,10 @@
 //===- JsonFields.h - Strict parsing of external JSON -----------*- C++ -*-===//
 //
-// Strict, bounded parsing of external JSON: size, depth and duplicate keys are
-// checked during parsing, each field is read by name with its type and range,
-// and finish() rejects fields that were not read. Every error gives the
-// location, the field, the value and the allowed values; nothing here throws.
+// Strict, bounded parsing of external JSON: size and depth are checked before
+// parsing, duplicate keys during it, each field is read by name with its type
+// and range, and finish() rejects fields that were not read. Every error gives
+// the location, the field, the value and the allowed values; nothing here
+// throws.
 //
 //   BOOST_LEAF_AUTO(Doc, parseJson(Text, "the settings", {}));
 //   BOOST_LEAF_AUTO(F, JsonFields::open(Doc, "upstream"));
--- a/packages/model/PreparedChange.cpp
+++ b/packages/model/PreparedChange.cpp
@@ -28,8 +28,8 @@
                           What, Json.size(), MaxObjectBytes));
 }
 
-/// Adds a blob to the head's table \p Table and, if it is not stored yet, to
-/// \p NewBlobs.
+/// Adds a blob to the head's table \p Table and, if its hash is not in
+/// \p Stored, to \p NewBlobs.
 Result<void> addBlob(std::string Name, std::string Json,
                      const std::set<std::string> &Stored,
                      std::map<std::string, std::string> &Table,
