--- a/packages/query/AnswerBuilder.h
+++ b/packages/query/AnswerBuilder.h
@@ -14,8 +14,8 @@
 
 namespace shallot {
 
-/// Returns the coverage of \p Subs. A service without a reply counts as missing
-/// with TransferTimeout; \p Waited is how long its reply was awaited.
+/// Returns the coverage of \p Subs. A service that is still waiting counts as
+/// missing with TransferTimeout; \p Waited is the time since the search began.
 Coverage coverageOf(std::span<const SubQuery> Subs, Duration Waited);
 
 /// Moves the bodies of the answered services out of \p Subs.
--- a/packages/query/QueryAnswer.h
+++ b/packages/query/QueryAnswer.h
@@ -1,4 +1,4 @@
-//===- QueryAnswer.h - The result of one search ----------------*- C++ -*-===//
+//===- QueryAnswer.h - The result of one search -----------------*- C++ -*-===//
 //
 // Records of one snapshot and the coverage that they provide. Coverage is
 // derived only from the replies in the answer, so it cannot report "complete"
@@ -52,14 +52,14 @@
 
 /// Requests that one search sent to upstreams, by kind.
 struct QueryCost {
-  unsigned FirstSends = 0; ///< One for each requested service.
+  unsigned FirstSends = 0; ///< At most one for each requested service.
   unsigned Hedges = 0;
   unsigned Retries = 0;
   /// Requests for the same pin sent to another upstream after a refusal that
   /// cost no upstream any work: a 409, or no daemon with a free slot. They do
   /// not draw on the retry budget.
   unsigned Reasks = 0;
-  unsigned Restarts = 0; ///< Sub-requests sent again for a newer snapshot.
+  unsigned Restarts = 0; ///< Sub-requests sent again for another pin.
   unsigned Crashed = 0;  ///< Upstreams whose process exited during the request.
   unsigned NotReceived = 0; ///< Requests above that no upstream received.
 
@@ -73,8 +73,8 @@
 
 struct QueryAnswer {
   /// Ok, PartialCoverage, CoverageRefused, DeadlineExceeded, SnapshotGone,
-  /// NoReplica, WouldMissDeadline, CallerGone, ReplicasCrashed or
-  /// RequestCrashes.
+  /// NoReplica, UpstreamUnreachable, WouldMissDeadline, CallerGone,
+  /// ReplicasCrashed or RequestCrashes.
   ResultCode Code = ResultCode::Ok;
   std::string Text; ///< Human-readable, when Code is not Ok.
   /// The snapshot of all records; 0.0 if no service answered.
--- a/packages/query/QueryEnd.cpp
+++ b/packages/query/QueryEnd.cpp
@@ -63,7 +63,7 @@
     A.Records = takeRecords(Subs);
   else if (Code != ResultCode::ReplicasCrashed &&
            Code != ResultCode::RequestCrashes)
-    A.RetryAfter = retryAfter(); // A search that crashes is not to be retried.
+    A.RetryAfter = retryAfter(); // Not for a search that crashes upstreams.
   if (Code != ResultCode::Ok)
     A.Text = A.Covered.complete() ? std::string(infoOf(Code).Text)
                                   : missingText(A.Covered);
--- a/packages/query/QueryRun.h
+++ b/packages/query/QueryRun.h
@@ -104,7 +104,8 @@
 struct WakeAt {
   Instant At;
 };
-/// Close the idle connections to this upstream, which stopped responding.
+/// Close the idle connections to this upstream: requests on its connections got
+/// no reply.
 struct ReplaceConnection {
   UpstreamId Target;
 };
--- a/packages/query/Replica.h
+++ b/packages/query/Replica.h
@@ -28,7 +28,8 @@
 /// Duration of the first ejection; it doubles with each consecutive one.
 inline constexpr Duration EjectTime = Seconds(1);
 inline constexpr unsigned MaxEjectDoublings = 5; ///< 32 s to 48 s.
-/// Successful replies that reset the count of consecutive ejections.
+/// Replies, including refusals by the upstream itself, that reset the count of
+/// consecutive ejections.
 inline constexpr unsigned RepliesToResetEjections = 10;
 
 /// Consecutive silent requests that trigger an action. A request is silent if
@@ -82,7 +83,8 @@
   std::optional<Instant> ReplacedAt; ///< Connections closed, no reply since.
   Instant EjectedUntil;
   unsigned EjectionsInRow = 0;
-  unsigned GoodReplies = 0; ///< Since the last ejection.
+  /// Replies and refusals by the upstream since the last ejection.
+  unsigned GoodReplies = 0;
 
   SlowStart Shed;   ///< After a refusal because of load.
   SlowStart Warmup; ///< After a cold start or an ejection.
--- a/packages/query/ReplicaTable.h
+++ b/packages/query/ReplicaTable.h
@@ -101,8 +101,8 @@
   void onReply(const UpstreamId &Id, Instant SentAt, const SubReply &Reply,
                Instant Now);
   void onCancelled(const UpstreamId &Id, Instant SentAt, Instant Now);
-  /// An attempt sent at \p SentAt is unusually late, or its hedge answered
-  /// first.
+  /// An attempt sent at \p SentAt is unusually late, or another attempt
+  /// answered after the hedge delay of this one.
   SilenceAction onSilent(const UpstreamId &Id, Instant SentAt, Instant Now);
 
   /// The upstream's own report from GET /load.
@@ -110,8 +110,8 @@
   /// The platform's host list marks it as leaving, or no longer does.
   void onLeaving(const UpstreamId &Id, bool Leaving);
 
-  /// Whether \p Id holds \p S; nothing if that is unknown or the information
-  /// has expired.
+  /// Whether \p Id holds \p S; nothing if that is unknown, or if the report
+  /// that lacks \p S is older than NotHeldValidity.
   std::optional<bool> holds(const UpstreamId &Id, const Snapshot &S,
                             Instant Now) const;
   /// The snapshots that \p Id reported as servable; empty if unknown.
--- a/packages/query/SubQuery.h
+++ b/packages/query/SubQuery.h
@@ -43,7 +43,7 @@
   unsigned Hedges = 0;
   Instant HedgeAt = Never;
   bool HedgeDeferred = false;            ///< Postponed once to save tokens.
-  Duration HedgeDelay{0};                ///< Hedge quantile of latency.
+  Duration HedgeDelay{0};                ///< At least MinHedgeDelay.
   std::optional<SubReply> UnpinnedReply; ///< Received before the pin.
   UpstreamId From;
   std::string Body;
--- a/packages/query/SubSender.cpp
+++ b/packages/query/SubSender.cpp
@@ -153,7 +153,8 @@
   for (SubAttempt &A : Sub.Attempts) {
     if (!A.Open)
       continue;
-    // Overtaken: a later request to another upstream answered first.
+    // Overtaken: another attempt answered first, after the hedge delay of this
+    // one.
     bool Overtaken =
         Sub.State == SubState::Answered && Now - A.SentAt >= Sub.HedgeDelay;
     if (A.SilentAt != Never && (Overtaken || Now >= A.SilentAt))
--- a/packages/query/TraceRing.h
+++ b/packages/query/TraceRing.h
@@ -28,13 +28,13 @@
   HedgeDenied, ///< The budget is exhausted.
   RetryDenied,
   Replied,   ///< Service, Upstream, Code, Took.
-  NotUsed,   ///< A reply from a snapshot other than the pin.
+  NotUsed,   ///< An unpinned reply from a snapshot other than the pin.
   Cancelled, ///< No longer needed.
   Silent,    ///< No reply for an unusually long time.
   ReplacedConnection,
   BlamedReplica,
   PinVanished, ///< Service: no usable upstream holds the pin.
-  Restarted,   ///< On Pin.
+  Restarted,   ///< On Pin; then one event for each service sent again.
   GaveUp,      ///< Service is missing; Code is the reason.
   HeldBack,    ///< Deferred until no attempt is open: upstreams crashed.
   Finished,    ///< Code.
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -187,7 +187,8 @@
     CHECK(O.Answers.front().Records.empty());
   }
 
-  /// Delivers a reply; only those of reply() are for open attempts.
+  /// Only reply() delivers to open attempts; other callers pass closed or
+  /// unknown keys.
   void deliver(QueryRun &Run, const AttemptKey &Key, const SubReply &Reply) {
     O.take(Run.onReply(Key, Reply, Now));
   }
