--- a/packages/model/Document.h
+++ b/packages/model/Document.h
@@ -79,8 +79,9 @@
 
 /// Returns \p D with \p Docs added or replaced. If \p D has no preset in force,
 /// the first preset of \p Docs becomes the preset in force. Fails with
-/// DanglingReference if an upstream refers to a service that is in neither, and
-/// AlreadyExists if \p Docs contains an object twice.
+/// DanglingReference if an upstream refers to a service that is in neither,
+/// AlreadyExists if \p Docs contains an object twice, or an error of make() of
+/// an object.
 Result<Draft> applyDocuments(Draft D, const std::vector<OperatorDoc> &Docs);
 
 /// Returns \p D without the object "service/T/G/S", "upstream/U" or "preset/P".
@@ -101,7 +102,8 @@
 /// Validates \p D and prepares the objects that make it the successor of
 /// \p Before (null: there is no configuration yet). \p What has the change's
 /// id, operator, summary and time; its generation is set here. Fails with
-/// PlatformTooLarge if an object exceeds MaxObjectBytes.
+/// PlatformTooLarge if an object exceeds MaxObjectBytes, BadName or OutOfRange
+/// if \p What is invalid, or an error of Head::make() or Config::make().
 Result<PreparedChange> prepare(const ConfigPtr &Before, const Draft &D,
                                Change What);
 
--- a/packages/model/JsonFields.h
+++ b/packages/model/JsonFields.h
@@ -65,7 +65,7 @@
   Result<bool> boolean(std::string_view Key);
   Result<const nlohmann::json *> array(std::string_view Key);
   Result<const nlohmann::json *> object(std::string_view Key);
-  /// Reads a string that satisfies checkName().
+  /// Reads a string that satisfies checkName(); else also fails with BadName.
   Result<std::string> name(std::string_view Key);
 
   /// Fails with UnknownField if a field has not been read; lists the known
--- a/packages/query/QueryAnswer.h
+++ b/packages/query/QueryAnswer.h
@@ -55,9 +55,9 @@
   unsigned FirstSends = 0; ///< At most one for each requested service.
   unsigned Hedges = 0;
   unsigned Retries = 0;
-  /// Requests for the same pin sent to another upstream after a refusal that
-  /// cost no upstream any work: a 409, or no daemon with a free slot. They do
-  /// not draw on the retry budget.
+  /// Requests sent to another upstream after a refusal that cost no upstream
+  /// any work (a 409, or no daemon with a free slot) or after a reply from a
+  /// snapshot other than the pin. They do not draw on the retry budget.
   unsigned Reasks = 0;
   unsigned Restarts = 0; ///< Sub-requests sent again for another pin.
   unsigned Crashed = 0;  ///< Upstreams whose process exited during the request.
--- a/packages/query/QueryMachine.cpp
+++ b/packages/query/QueryMachine.cpp
@@ -198,8 +198,8 @@
   if (FinishBy - Now < MinUsefulTime)
     return giveUp(Sub, ResultCode::SnapshotGone, Sub.Text, Now);
   // Each upstream is tried at most once per pin, so this terminates. It does
-  // not draw on the retry budget because the refusals cost the upstreams no
-  // work.
+  // not draw on the retry budget because refusals with 409 cost the upstreams
+  // no work.
   if (auto To = Sender->pick(Sub, Pin, Now))
     return sendTo(I, *To, TraceKind::Reasked, Now);
   pinVanished(I, Now);
--- a/packages/query/QuerySendRestriction.cpp
+++ b/packages/query/QuerySendRestriction.cpp
@@ -12,9 +12,9 @@
 }
 
 /// True while the search is suspected of crashing every upstream that runs it.
-/// Retries for each service that it lost, and hedges, would then crash all
-/// upstreams within one request. Therefore a suspected search is sent only when
-/// no other attempt is open, until an attempt succeeds.
+/// Hedges, and retries for each service whose upstream crashed, would then
+/// crash all upstreams within one request. Therefore a suspected search is sent
+/// only when no other attempt is open, until an attempt succeeds.
 bool QueryMachine::isSuspect() const {
   bool Suspected =
       Spec.Restriction != SendRestriction::None || Sender->cost().Crashed > 0;
--- a/packages/query/Replica.h
+++ b/packages/query/Replica.h
@@ -38,8 +38,9 @@
 /// a probability of 1 in 8,000, and a false positive costs one new connection.
 inline constexpr unsigned SilentBeforeAction = 3;
 
-/// Below this weight, reached after three consecutive refusals, an upstream
-/// that sheds load is not used even as a last resort.
+/// Below this weight an upstream that sheds load is not used even as a last
+/// resort. Three consecutive refusals reach it; refusals within
+/// ShedSignalInterval count once.
 inline constexpr double LastResortWeight = 0.2;
 /// How long an upstream's draining report remains valid; after that it is tried
 /// again. Longer than a restart, so that a draining upstream receives no
--- a/packages/query/SubQuery.h
+++ b/packages/query/SubQuery.h
@@ -38,7 +38,7 @@
   SubState State = SubState::Waiting;
   std::vector<SubAttempt> Attempts; ///< For the current pin.
   std::vector<UpstreamId> Tried;    ///< Upstreams excluded from selection.
-  /// Attempts except those sent after a 409 or because no daemon had a slot.
+  /// Attempts except those of kind Reasked (see QueryCost::Reasks).
   unsigned CountedAttempts = 0;
   unsigned Hedges = 0;
   Instant HedgeAt = Never;
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -284,7 +284,8 @@
       Seen.Restarts += C.Restarts;
     }
   }
-  // The histories reach every result code and every kind of extra request.
+  // The histories reach each of these result codes and every kind of extra
+  // request.
   for (ResultCode Code :
        {ResultCode::Ok, ResultCode::PartialCoverage,
         ResultCode::CoverageRefused, ResultCode::DeadlineExceeded,
