--- a/packages/model/Document.h
+++ b/packages/model/Document.h
@@ -1,4 +1,4 @@
-//===- Document.h - JSON encoding of the model -----------------*- C++ -*-===//
+//===- Document.h - JSON encoding of the model ------------------*- C++ -*-===//
 //
 // Every error gives the field, the value and the allowed values. Unknown fields
 // are errors. The encoding is canonical (sorted keys, no spaces), so that equal
@@ -27,8 +27,8 @@
 std::string encode(const Preset &P);
 std::string encode(const Head &H);
 
-/// Fail with MalformedJson, UnknownField, MissingField, WrongType or an error
-/// of the type's make().
+/// Fail with BodyTooLarge, MalformedJson, UnknownKind, UnknownField,
+/// MissingField, WrongType, OutOfRange or an error of the type's make().
 Result<Group> decodeGroup(std::string_view Json);
 Result<Preset> decodePreset(std::string_view Json);
 Result<Head> decodeHead(std::string_view Json);
@@ -79,8 +79,9 @@
 
 /// Returns \p D with \p Docs added or replaced. If \p D has no preset in force,
 /// the first preset of \p Docs becomes the preset in force. Fails with
-/// DanglingReference if an upstream refers to a service that is in neither, and
-/// AlreadyExists if \p Docs contains an object twice.
+/// DanglingReference if an upstream refers to a service that is in neither,
+/// AlreadyExists if \p Docs contains an object twice, or an error of make() of
+/// an object.
 Result<Draft> applyDocuments(Draft D, const std::vector<OperatorDoc> &Docs);
 
 /// Returns \p D without the object "service/T/G/S", "upstream/U" or "preset/P".
@@ -94,14 +95,15 @@
 struct PreparedChange {
   ConfigPtr After;
   std::string HeadJson;
-  /// Content hash to JSON, of the blobs that are not stored yet.
+  /// Content hash to JSON, of the blobs that \p Before does not reference.
   std::map<std::string, std::string> NewBlobs;
 };
 
 /// Validates \p D and prepares the objects that make it the successor of
 /// \p Before (null: there is no configuration yet). \p What has the change's
 /// id, operator, summary and time; its generation is set here. Fails with
-/// PlatformTooLarge if an object exceeds MaxObjectBytes.
+/// PlatformTooLarge if an object exceeds MaxObjectBytes, BadName or OutOfRange
+/// if \p What is invalid, or an error of Head::make() or Config::make().
 Result<PreparedChange> prepare(const ConfigPtr &Before, const Draft &D,
                                Change What);
 
--- a/packages/query/Replica.h
+++ b/packages/query/Replica.h
@@ -28,7 +28,8 @@
 /// Duration of the first ejection; it doubles with each consecutive one.
 inline constexpr Duration EjectTime = Seconds(1);
 inline constexpr unsigned MaxEjectDoublings = 5; ///< 32 s to 48 s.
-/// Successful replies that reset the count of consecutive ejections.
+/// Replies, including refusals by the upstream itself, that reset the count of
+/// consecutive ejections.
 inline constexpr unsigned RepliesToResetEjections = 10;
 
 /// Consecutive silent requests that trigger an action. A request is silent if
@@ -37,8 +38,9 @@
 /// a probability of 1 in 8,000, and a false positive costs one new connection.
 inline constexpr unsigned SilentBeforeAction = 3;
 
-/// Below this weight, reached after three consecutive refusals, an upstream
-/// that sheds load is not used even as a last resort.
+/// Below this weight an upstream that sheds load is not used even as a last
+/// resort. Three consecutive refusals reach it; refusals within
+/// ShedSignalInterval count once.
 inline constexpr double LastResortWeight = 0.2;
 /// How long an upstream's draining report remains valid; after that it is tried
 /// again. Longer than a restart, so that a draining upstream receives no
@@ -82,7 +84,8 @@
   std::optional<Instant> ReplacedAt; ///< Connections closed, no reply since.
   Instant EjectedUntil;
   unsigned EjectionsInRow = 0;
-  unsigned GoodReplies = 0; ///< Since the last ejection.
+  /// Replies and refusals by the upstream since the last ejection.
+  unsigned GoodReplies = 0;
 
   SlowStart Shed;   ///< After a refusal because of load.
   SlowStart Warmup; ///< After a cold start or an ejection.
--- a/packages/query/SubQuery.h
+++ b/packages/query/SubQuery.h
@@ -38,12 +38,12 @@
   SubState State = SubState::Waiting;
   std::vector<SubAttempt> Attempts; ///< For the current pin.
   std::vector<UpstreamId> Tried;    ///< Upstreams excluded from selection.
-  /// Attempts except those sent after a 409 or because no daemon had a slot.
+  /// Attempts except those of kind Reasked (see QueryCost::Reasks).
   unsigned CountedAttempts = 0;
   unsigned Hedges = 0;
   Instant HedgeAt = Never;
   bool HedgeDeferred = false;            ///< Postponed once to save tokens.
-  Duration HedgeDelay{0};                ///< Hedge quantile of latency.
+  Duration HedgeDelay{0};                ///< At least MinHedgeDelay.
   std::optional<SubReply> UnpinnedReply; ///< Received before the pin.
   UpstreamId From;
   std::string Body;
--- a/tests/correctness/QueryHoldsInAnyOrder.cpp
+++ b/tests/correctness/QueryHoldsInAnyOrder.cpp
@@ -187,7 +187,8 @@
     CHECK(O.Answers.front().Records.empty());
   }
 
-  /// Delivers a reply; only those of reply() are for open attempts.
+  /// Only reply() delivers to open attempts; other callers pass closed or
+  /// unknown keys.
   void deliver(QueryRun &Run, const AttemptKey &Key, const SubReply &Reply) {
     O.take(Run.onReply(Key, Reply, Now));
   }
@@ -283,7 +284,8 @@
       Seen.Restarts += C.Restarts;
     }
   }
-  // The histories reach every result code and every kind of extra request.
+  // The histories reach each of these result codes and every kind of extra
+  // request.
   for (ResultCode Code :
        {ResultCode::Ok, ResultCode::PartialCoverage,
         ResultCode::CoverageRefused, ResultCode::DeadlineExceeded,
