--- a/packages/front/FrontDaemon.cpp
+++ b/packages/front/FrontDaemon.cpp
@@ -19,19 +19,19 @@
 constexpr Duration CloseBeforeKill = Millis(900);
 /// The process exits at least this long before the kill.
 constexpr Duration ExitMargin = Millis(150);
-/// Time between the last accepted connection and the exit: requests read by
-/// then are answered. Idle connections are not waited for any longer.
+/// Maximum time from stopListening() to the exit, in which requests that have
+/// been read are answered. Idle connections are not waited for any longer.
 constexpr Duration FinalDrain = Millis(100);
 constexpr Duration FinalDrainPeriod = Millis(5);
 /// Minimum time from the stop signal to the exit, for callers that still have
 /// the address of this daemon cached. It covers the validity that most of them
-/// respect.
+/// respect. A kill that is due earlier cuts it short.
 constexpr Duration MinStopTime = Seconds(3);
 /// How long callers may cache a directory reply. Short, because a caller that
 /// keeps the address of a dead daemon fails; each reply costs some 100 us of
 /// CPU time.
 constexpr Duration EntryValidity = Seconds(2);
-/// A suspension of the process longer than this closes idle connections: the
+/// A suspension of the machine longer than this closes idle connections: the
 /// peers and everything in between may have dropped them.
 constexpr Duration SuspendGap = Millis(1000);
 /// Period of load measurements: several queries, even on a host with little
@@ -186,9 +186,9 @@
 }
 
 /// Uses the smallest fraction of the retry allowance that was granted over the
-/// last window: other daemons may already have used what this one has gained.
-/// After a restart the daemon does not know what it used before, so for one
-/// window it uses at most an equal part.
+/// last retryLookback(): other daemons may already have used what this one has
+/// gained. After a restart the daemon does not know what it used before, so for
+/// the same time it uses at most an equal part.
 void FrontDaemon::Impl::updateSharing(Instant Now) {
   FleetShare Usable = Shared;
   Usable.RetryShare = RetryShare.usable(Now);
--- a/packages/front/FrontDaemon.h
+++ b/packages/front/FrontDaemon.h
@@ -12,8 +12,8 @@
 // peers no longer list it in the directory, and every reply closes its
 // connection. It keeps accepting connections from callers that still have its
 // address cached. It exits when no connection is left, or shortly before the
-// process would be killed. The shutdown does not cut off a request that has
-// been read.
+// process would be killed. A request that has been read is answered, unless it
+// is still running then.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_FRONTDAEMON_H
@@ -64,7 +64,7 @@
   /// Ignores a configuration that is not newer than the one in force.
   void install(ServingConfig Config);
   ReplicaRegistry &replicas();
-  /// Requests that are known to crash replicas.
+  /// Quarantine state of requests that crashed replicas.
   QuarantineGate &quarantine();
   /// Reports that the replicas have been listed once: from now on a replica
   /// that is absent from the registry does not exist.
--- a/packages/front/RequestAdmission.cpp
+++ b/packages/front/RequestAdmission.cpp
@@ -18,8 +18,9 @@
 
 } // namespace
 
-/// Requests that crashed replicas are rejected or wait for a trial to be
-/// granted; they hold no place in the admission queue meanwhile.
+/// A quarantined request is rejected; one on trial waits until a trial is
+/// granted and holds no place in the admission queue meanwhile. A request that
+/// is only suspected of crashing replicas is admitted.
 void RequestHandler::Impl::checkQuarantine(const JobPtr &J) {
   switch (Gate.quarantineState(J->Name)) {
   case QuarantineState::Clear:
@@ -50,7 +51,8 @@
     J->Trial = Granted;
     if (Granted)
       return admit(J);
-    // Another daemon may have cleared or quarantined the request meanwhile.
+    // Another attempt, here or on another daemon, may have cleared or
+    // quarantined the request meanwhile.
     if (Gate.quarantineState(J->Name) != QuarantineState::OnTrial)
       return checkQuarantine(J);
     reject(J, trialUnavailableAnswer());
--- a/packages/front/RequestHandler.cpp
+++ b/packages/front/RequestHandler.cpp
@@ -235,7 +235,7 @@
   I->restrictActiveRequests();
   I->Admission.install(*I->Config);
   I->pollAdmission();
-  // Drops the budgets of services that no route uses any more.
+  // Drops the budgets of services that the configuration no longer lists.
   std::erase_if(I->Budgets, [&](const auto &Item) {
     return !I->Config->services().contains(Item.first);
   });
--- a/packages/front/RequestHandler.h
+++ b/packages/front/RequestHandler.h
@@ -2,8 +2,8 @@
 //
 // Connects the decisions of package forward with the connections of package
 // http1: finds the route, starts a ForwardRun, performs its sends and returns
-// the answer to the caller. Counts all requests and logs those with an unusual
-// outcome.
+// the answer to the caller. Counts all answers and logs requests that were
+// refused or whose answer was incomplete or late.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FRONT_REQUESTHANDLER_H
@@ -29,15 +29,16 @@
   RequestHandler(const RequestHandler &) = delete;
   RequestHandler &operator=(const RequestHandler &) = delete;
 
-  /// Applies \p Config to requests that arrive from now on.
+  /// Applies \p Config to requests that arrive from now on. Earlier ones keep
+  /// their configuration, but no longer use regions that \p Config forbids.
   void install(std::shared_ptr<const ServingConfig> Config);
   const std::shared_ptr<const ServingConfig> &config() const;
   /// Handles a request from a caller.
   void handle(const ExchangePtr &E);
-  /// Probes unavailable replicas and expires stale entries; call a few times
-  /// per second.
+  /// Probes unavailable replicas, expires stale entries and closes surplus idle
+  /// connections; call a few times per second.
   void tick();
-  /// Closes all idle connections, which may be dead after this process was
+  /// Closes all idle connections, which may be dead after the machine was
   /// suspended.
   void closeIdleConnections();
   /// Number of requests without an answer yet.
@@ -45,7 +46,7 @@
   /// Number of requests received.
   std::uint64_t handled() const;
   const UpstreamPoolCounters &connectionCounters() const;
-  /// Requests that are known to crash replicas.
+  /// Quarantine state of requests that crashed replicas.
   QuarantineGate &quarantine();
 
 private:
--- a/packages/front/RequestReading.h
+++ b/packages/front/RequestReading.h
@@ -18,7 +18,7 @@
 namespace shallot {
 
 /// Time that the caller waits, given in milliseconds, 300 s at most. Returns
-/// nothing if \p Text is not such a number.
+/// nothing if \p Text does not start with a number or the number is negative.
 std::optional<Duration> readDeadline(std::string_view Text);
 
 /// "search.example" of "Search.Example:80".
