--- a/packages/front/EntryAddresses.h
+++ b/packages/front/EntryAddresses.h
@@ -27,8 +27,8 @@
 
 /// Addresses for a caller at \p Caller whose requests may be served in
 /// \p Regions: daemons of its zone, or else of its region, or else of those
-/// regions, or else all. Healthy daemons come before suspected ones. Empty when
-/// no daemon accepts callers.
+/// regions, or else all. Suspected daemons are returned only if there is no
+/// healthy one anywhere. Empty when no daemon accepts callers.
 ///
 /// A daemon outside \p Regions forwards such requests only to replicas in the
 /// allowed regions, so a distant daemon can still serve when these regions have
@@ -58,7 +58,8 @@
 inline constexpr double NonEntryHostRetryShare = 0.2;
 
 /// Fraction of the retry allowance if all daemons had an equal part. A daemon
-/// uses it until it has been in the fleet for one window of the allowance.
+/// uses at most this until one window of the allowance after its start, plus
+/// ViewPropagationTime.
 double equalRetryPart(const FleetView &View, const HostId &Self);
 
 } // namespace shallot
--- a/packages/front/FeedSources.h
+++ b/packages/front/FeedSources.h
@@ -51,8 +51,9 @@
       : Self(std::move(Self)), Here(std::move(Here)) {}
 
   void update(const FleetView &View);
-  /// Source for the next call. \p Listed: a list was read before. Until then
-  /// only the default source is used, and the store after that has failed.
+  /// Source for the next call. \p Listed: a list was read before. Until then a
+  /// peer that is still starting is used only if it is the default source, and
+  /// the store is used if no peer is usable.
   FeedSource next(bool Listed, Instant Now);
   /// Uses \p Peer for the next call because it is ahead of this daemon.
   void prefer(const Member &Peer) { Preferred = Peer; }
--- a/packages/front/FeedWire.cpp
+++ b/packages/front/FeedWire.cpp
@@ -15,8 +15,8 @@
 constexpr std::string_view PathPrefix = "/feed/";
 constexpr std::uint64_t MaxWaitMs = 30000;
 constexpr std::string_view AgeHeader = "Feed-Age-Ms";
-/// About thirty years; a daemon that never heard from the store reports its
-/// uptime.
+/// About thirty years; a daemon that never heard from the store reports the
+/// uptime of its machine.
 constexpr std::uint64_t MaxAgeMs = 1000000000000;
 /// A full page of registrations is about 100 KB; a configuration with thousands
 /// of routes is a few MB.
--- a/packages/front/FeedWire.h
+++ b/packages/front/FeedWire.h
@@ -35,7 +35,8 @@
 
 /// Path and query of \p Q.
 std::string feedTarget(const FeedRequest &Q);
-/// Returns nothing if the request does not have this form.
+/// Returns nothing if \p Path does not start with /feed/. Missing or malformed
+/// numbers are ignored; the wait is limited to 30 s.
 std::optional<FeedRequest> parseFeedRequest(std::string_view Path,
                                             std::string_view Query);
 
@@ -43,8 +44,9 @@
 HttpHeader ageHeader(Duration Age);
 std::string writePage(const KindPage &P);
 std::string writeChanges(const KindChanges &C);
-/// Fail with PeerBadMessage for a malformed body, PlatformHistoryGone, or
-/// PeerUnreachable for other failures.
+/// Fail with PeerBadMessage for a malformed body, PlatformHistoryGone for
+/// status 410 or a reply that exceeds the size limit, or PeerUnreachable for
+/// other failures.
 Attempt<KindPage> readPage(const HttpReply &R);
 Attempt<KindChanges> readChanges(const HttpReply &R);
 
--- a/packages/front/RelayedStore.h
+++ b/packages/front/RelayedStore.h
@@ -22,8 +22,8 @@
 /// this bounds the cases that all of these miss.
 inline constexpr Duration PeerWait = Seconds(4);
 /// The same for a daemon that watches the store for its region. It uses a peer
-/// only while the store does not answer, and only briefly: two such daemons
-/// waiting for each other would receive nothing.
+/// only while the store does not answer or when the peer is ahead, and only
+/// briefly: two such daemons waiting for each other would receive nothing.
 inline constexpr Duration WatcherPeerWait = Millis(400);
 inline constexpr Duration PeerTimeoutMargin = Millis(700);
 inline constexpr Duration PeerListTimeout = Millis(800);
