--- a/packages/forward/ConnectionAllowance.cpp
+++ b/packages/forward/ConnectionAllowance.cpp
@@ -1,4 +1,4 @@
-//===- ConnectionAllowance.cpp --------------------------------------------===//
+//===- ConnectionAllowance.cpp - Growth and backoff -----------------------===//
 #include "forward/ConnectionAllowance.h"
 
 #include "forward/HalfLife.h"
@@ -10,13 +10,14 @@
 /// Minimum time between two increases: from three to twenty connections takes a
 /// third of a second, and daemons with the same demand see each other's effect.
 constexpr Duration GrowInterval = Millis(20);
-/// What a reset leaves of the extra connections.
+/// The fraction of the extra connections that a reset leaves.
 constexpr double RefusalFactor = 0.5;
 /// No growth for this long after a reset; it takes about this time until the
 /// connections that were too many are closed or used.
 constexpr Duration GrowthHold = Millis(2000);
-/// Short relative to a failure of replicas, which lasts seconds, and long
-/// relative to a pause, during which no connections are requested.
+/// Half-life of the extra connections: short relative to a failure of replicas,
+/// which lasts seconds, and long relative to a pause, during which no
+/// connections are requested.
 constexpr double HalfLifeMs = 1500;
 
 } // namespace
--- a/packages/forward/ForwardAnswer.cpp
+++ b/packages/forward/ForwardAnswer.cpp
@@ -19,8 +19,8 @@
 /// caller abandoned must end within half a second.
 constexpr Duration LingerTime = Millis(220);
 
-/// Retry-After when no replica is usable; an ejected replica is first probed
-/// after about this time.
+/// Retry-After when no replica is usable or nothing ran; an ejected replica is
+/// first probed after about this time.
 constexpr Duration NoReplicaRetry = Millis(250);
 /// Retry-After when only replicas in other regions are usable: those in the
 /// allowed regions must restart first, which takes longer than a probe.
--- a/packages/forward/ForwardRun.cpp
+++ b/packages/forward/ForwardRun.cpp
@@ -19,9 +19,9 @@
 /// Time left of the deadline when an error is sent.
 constexpr Duration DeadlineMargin = Millis(12);
 
-/// A send is hedged after this multiple of its predicted duration, plus a
-/// little for timers. With service times that vary by a third about their mean,
-/// 99 of a hundred healthy sends are faster than that.
+/// A send is hedged after the RTT, this multiple of its predicted time at the
+/// replica, and a little for timers. With service times that vary by a third
+/// about their mean, 99 of a hundred healthy sends are faster than that.
 constexpr double HedgeFactor = 1.9;
 constexpr Duration HedgeSlack = Millis(8);
 /// A hedge is sent early enough to arrive in time for the answer even if it
@@ -30,13 +30,13 @@
 /// Service times of plain requests vary more, and one send is all there is.
 constexpr double PlainHedgeFactor = 2.6;
 /// With less than this fraction of the budget free, or while requests wait for
-/// admission, a hedge is sent only if few parts are missing from the minimum
-/// coverage.
+/// admission, a hedge is sent only if at most DecidingParts parts are missing
+/// from the minimum coverage.
 constexpr double LowBudgetFraction = 0.35;
 constexpr std::size_t DecidingParts = 2;
 
-/// Limit on the sends of a part beyond those that may have run: a rejected send
-/// costs a replica little, but not nothing.
+/// Limit on the sends of a part beyond Route::MaxAttempts, for those that did
+/// not run: a rejected send costs a replica little, but not nothing.
 constexpr unsigned MaxRejections = 2;
 
 /// Retry interval while every replica has as many sends as it may.
@@ -141,8 +141,8 @@
   return S.Replicas.choose(C, Jitter, Now);
 }
 
-/// A send that cannot be answered in time costs a replica its work and means
-/// that the caller can no longer be told "not run".
+/// Whether a send to \p To could not be answered in time. Such a send costs a
+/// replica its work and means that the caller can no longer be told "not run".
 bool ForwardRun::missesDeadline(ForwardShared &S, const Replica &To,
                                 Instant Now) const {
   return Now + To.roundTrip() + serviceTime(S) / MinServiceTimeDivisor >
--- a/packages/forward/ForwardRun.h
+++ b/packages/forward/ForwardRun.h
@@ -14,7 +14,7 @@
 //
 // When it answers:
 //
-//   all parts succeeded, or the rest cannot be had   at once
+//   all parts succeeded, or the others have failed   at once
 //   the latency objective is about to pass           with the parts at hand, if
 //                                                    they have the minimum
 //                                                    coverage
@@ -35,7 +35,8 @@
 // Usage: call begin() once, replied() for each send that ended, and tick() when
 // nextTick() has come, and carry out the output of each. After the answer, call
 // tick() until done(): open sends get a short time to complete, which costs a
-// replica less than a closed connection, and are then dropped.
+// replica less than a closed connection, and are then dropped. Those of a
+// request that is not idempotent have until its deadline.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FORWARD_FORWARDRUN_H
@@ -170,7 +171,7 @@
   explicit ForwardRun(ForwardRequest A)
       : Request(std::move(A)), ServingRegions(Request.Matched->Regions) {}
 
-  /// Sets the caution after \p Before replicas crashed under earlier attempts.
+  /// Restricts the sends, after \p Before replicas crashed in earlier attempts.
   /// Call it before begin().
   void setRestriction(SendRestriction Restriction, unsigned Before) {
     Request.Restriction = Restriction;
@@ -195,9 +196,9 @@
   bool done() const { return Answered && OpenSends == 0; }
   const ForwardRequest &request() const { return Request; }
   const RunStats &stats() const { return Stats; }
-  /// Whether another request may be admitted: this one is answered, or waits
-  /// for stragglers only. A slow replica holds queries for long and is no
-  /// reason to admit fewer.
+  /// Whether another request may be admitted: this one is answered, has the
+  /// minimum coverage, or is past its cutoff. A slow replica holds queries for
+  /// long and is no reason to admit fewer.
   bool freesAdmission() const {
     return Answered || CutoffPassed || hasMinCoverage();
   }
@@ -226,7 +227,8 @@
     Duration Queued{};
     /// A replica rejected a send because its queue was full.
     bool FoundReplicaFull = false;
-    /// Held back until a send of the request succeeds.
+    /// Held back while the request is suspected: waits for a send of it to
+    /// succeed or, if no other send is open, for its turn (sendHeldParts()).
     bool Held = false;
     /// How the last send of a held part ended.
     SendStatus LastStatus = SendStatus::Abandoned;
--- a/packages/forward/ForwardSendRestriction.cpp
+++ b/packages/forward/ForwardSendRestriction.cpp
@@ -15,19 +15,20 @@
   AnyHeld = true;
 }
 
-/// A request that crashes every replica that runs it would, if it were retried
-/// for each lost part and hedged, crash the replicas of all shards in one
-/// attempt. It is therefore sent to one replica at a time until a send
-/// succeeds.
+/// Whether the request may be the cause of crashes of replicas. A request that
+/// crashes every replica that runs it would, if it were retried for each lost
+/// part and hedged, crash the replicas of all shards in one attempt. It is
+/// therefore sent to one replica at a time until a send succeeds.
 bool ForwardRun::suspected() const {
   bool Suspected =
       Request.Restriction != SendRestriction::None || Stats.Crashed > 0;
   return Suspected && !succeeded();
 }
 
-/// Nothing more is sent. Open sends may still succeed: when replicas of many
-/// shards end at once for another reason, three of them are lost before the
-/// first reply arrives.
+/// Whether no more is sent: too many replicas crashed, or the only send of a
+/// trial (OneSend) ended without success. False while sends are open, since one
+/// may still succeed: when replicas of many shards end at once for another
+/// reason, three of them are lost before the first reply arrives.
 bool ForwardRun::crashLimitReached() const {
   if (!suspected() || OpenSends > 0)
     return false;
--- a/packages/forward/IncarnationTable.cpp
+++ b/packages/forward/IncarnationTable.cpp
@@ -1,4 +1,4 @@
-//===- IncarnationTable.cpp -----------------------------------------------===//
+//===- IncarnationTable.cpp - Incarnations of replicas --------------------===//
 #include "forward/IncarnationTable.h"
 
 namespace shallot {
--- a/packages/forward/RecordMerge.cpp
+++ b/packages/forward/RecordMerge.cpp
@@ -1,4 +1,4 @@
-//===- RecordMerge.cpp ----------------------------------------------------===//
+//===- RecordMerge.cpp - Merging of the shards' records -------------------===//
 #include "forward/RecordMerge.h"
 
 #include <algorithm>
--- a/packages/forward/Replica.cpp
+++ b/packages/forward/Replica.cpp
@@ -1,4 +1,4 @@
-//===- Replica.cpp --------------------------------------------------------===//
+//===- Replica.cpp - Predictions, ejection and probes ---------------------===//
 #include "forward/Replica.h"
 
 #include "forward/HalfLife.h"
@@ -50,8 +50,8 @@
 /// requests.
 constexpr double LoadHalfLifeMs = 40;
 
-/// A reply from another region is one trip old on arrival; the queues of a
-/// burst last for many of them.
+/// How long a report of waiting requests counts. A reply from another region is
+/// half an RTT old on arrival; the queues of a burst last for many RTTs.
 constexpr Duration BusyReportValidity = Millis(250);
 
 /// A send is stalled when it takes this multiple of its prediction, plus a
@@ -174,8 +174,9 @@
     return;
   case SendStatus::Abandoned:
     // The outcome is unknown. A send that took longer than any pause counts as
-    // lost; otherwise a replica that accepts requests and never answers would
-    // cost every request a hedge.
+    // lost, unless the replica answered or rejected another one meanwhile;
+    // otherwise a replica that accepts requests and never answers would cost
+    // every request a hedge.
     if (toMillisF(Now - Started) < LossTimeoutMs || LastAnswer > Started)
       return;
     recordFailure(1, Now);
--- a/packages/forward/Replica.h
+++ b/packages/forward/Replica.h
@@ -100,8 +100,8 @@
                  Instant Now);
   void loadReported(const ReportedLoad &L, Instant Now);
 
-  /// Predicted duration of a send started now, including the cost of distance
-  /// and of likely failures.
+  /// Predicted duration of a send started now, plus the costs of distance, of
+  /// likely failures and of a stall.
   Duration predicted(Duration ServiceTime, Instant Now) const;
   /// Predicted duration of a send without these costs, if the replica is not
   /// stalled and does not fail.
--- a/packages/forward/ReplicaRegistry.cpp
+++ b/packages/forward/ReplicaRegistry.cpp
@@ -1,4 +1,4 @@
-//===- ReplicaRegistry.cpp ------------------------------------------------===//
+//===- ReplicaRegistry.cpp - Replica selection ----------------------------===//
 #include "forward/ReplicaRegistry.h"
 
 #include <algorithm>
@@ -15,8 +15,9 @@
 /// Daemons of other regions get this multiple of their equal share: they use it
 /// only while their own replica has failed, and not all at once.
 constexpr double CrossRegionOvercommit = 1.6;
-/// Limit on the fraction of a replica's connections that one daemon uses,
-/// however idle the others are, so that a faulty daemon leaves some for them.
+/// A daemon exceeds its share of a replica's connections only up to this
+/// fraction of all of them, however idle the others are, so that a faulty
+/// daemon leaves some for them.
 constexpr double MaxDaemonFraction = 0.6;
 /// Round-trip times until the first connection is measured: within a zone, a
 /// region, and the country.
@@ -61,7 +62,7 @@
   if (Dist == Distance::OtherRegion) {
     Part = (1 - SameRegionFraction) * CrossRegionOvercommit;
     // Daemons of the replica's own region have the other part. The number of
-    // daemons in all other regions is at most the total.
+    // daemons in all other regions is at most the total less one.
     Sharers = std::max<std::size_t>(1, S.connected() - 1);
   }
   double Share = MaxConnections * Part / static_cast<double>(Sharers);
@@ -143,8 +144,8 @@
   ZonesKnown = true;
 }
 
-/// Whether sends are limited, until this daemon's own warmupReturnDelay() has
-/// passed.
+/// Whether sends to \p R are limited (ServiceInfo::WarmupRate): it is cold, or
+/// became warm less than this daemon's warmupReturnDelay() ago.
 bool ReplicaRegistry::inWarmup(const Replica &R, const ServiceInfo &Info,
                                Instant Now) const {
   if (Info.WarmupRate <= 0)
@@ -221,7 +222,7 @@
       Slots, [&](const Slot *S) { return S->Registered && Allowed(*S); });
   ReplicaPtr Best;
   double BestMs = 0;
-  ReplicaPtr Full; ///< Better than Best, if it had room.
+  ReplicaPtr Full; ///< The best one without room.
   double FullMs = 0;
   double Draw = Jitter;
   for (Slot *S : Slots) {
--- a/packages/forward/ReplicaRegistry.h
+++ b/packages/forward/ReplicaRegistry.h
@@ -8,10 +8,10 @@
 //   leaving               gets no new sends.
 //   entry vanished        the replica left without notice, or its entry lapsed
 //                         because the store could not be reached. It is used
-//                         only while its service has no other replica, and only
-//                         for LapseHold; after an outage of the store, until
-//                         RecoveryGrace after the end of the outage, by when
-//                         live replicas have registered again.
+//                         only while its service has no usable registered
+//                         replica, and only for LapseHold; after an outage of
+//                         the store, until RecoveryGrace after the end of the
+//                         outage, by when live replicas have registered again.
 //   earlier start time    ignored: that incarnation has ended
 //                         (IncarnationTable).
 //   later start time      a new replica. Observations of the previous
@@ -75,7 +75,8 @@
   /// How long a vanished replica may be used for a service that has no other
   /// replica. Well below the time for which a leaving replica still serves.
   Duration LapseHold = Seconds(2);
-  /// Entries of live replicas are back about two seconds after the store is.
+  /// Vanished replicas are held at least until this long after an outage of the
+  /// store: entries of live ones are back about two seconds after it.
   Duration RecoveryGrace = Millis(2500);
   /// If set, no replica is used until it is known which zones are evacuated.
   bool AwaitEvacuations = false;
@@ -128,7 +129,8 @@
   /// spreads the selections of daemons with the same view.
   ReplicaPtr choose(const ReplicaCriteria &C, double Jitter, Instant Now);
   /// Expected duration of a send to the fastest replica of \p Service in
-  /// \p Regions other than \p Other; Duration::max() if there is none.
+  /// \p Regions other than \p Other that is usable and not stalled;
+  /// Duration::max() if there is none.
   Duration fastestOther(const ServiceName &Service,
                         const AllowedRegions &Regions, const ReplicaPtr &Other,
                         Duration ServiceTime, Instant Now) const;
@@ -136,7 +138,8 @@
   /// no room now.
   bool servable(const ServiceInfo &Service, const AllowedRegions &Regions,
                 Instant Now) const;
-  /// Removes vanished replicas whose hold time has passed.
+  /// Removes vanished replicas whose hold time has passed, and installs
+  /// registrations that IncarnationTable has confirmed meanwhile.
   void expire(Instant Now);
   /// Replicas to which a probe connection should be opened now.
   std::vector<ReplicaPtr> dueProbes(Instant Now);
--- a/packages/forward/RetryBudget.cpp
+++ b/packages/forward/RetryBudget.cpp
@@ -1,4 +1,4 @@
-//===- RetryBudget.cpp ----------------------------------------------------===//
+//===- RetryBudget.cpp - Further sends in a sliding window ----------------===//
 #include "forward/RetryBudget.h"
 
 #include <algorithm>
--- a/packages/forward/Route.cpp
+++ b/packages/forward/Route.cpp
@@ -1,4 +1,4 @@
-//===- Route.cpp ----------------------------------------------------------===//
+//===- Route.cpp - Checks and matching of routes --------------------------===//
 #include "forward/Route.h"
 
 #include <algorithm>
--- a/packages/forward/Route.h
+++ b/packages/forward/Route.h
@@ -110,9 +110,11 @@
 class ServingConfig {
 public:
   /// Validates every route: a host, a prefix that begins and ends with a slash,
-  /// times above zero, at least one attempt, services that are listed. Fails
-  /// with ConfigInvalid, naming the route. Restricts each route to the regions
-  /// of its tenant; tenants that are not in \p Tenants restrict nothing.
+  /// times above zero, at least one attempt, services that are listed, weights
+  /// of 0 or more that are not all 0, and for a fan-out distinct shards and
+  /// Idempotent. Fails with ConfigInvalid, naming the route. Restricts each
+  /// route to the regions of its tenant; tenants that are not in \p Tenants
+  /// restrict nothing.
   static Result<ServingConfig>
   make(std::uint64_t Version, std::vector<Route> Routes,
        std::vector<ServiceInfo> Services, CallerLimits Limits,
--- a/packages/forward/RouteAdmission.cpp
+++ b/packages/forward/RouteAdmission.cpp
@@ -1,4 +1,4 @@
-//===- RouteAdmission.cpp -------------------------------------------------===//
+//===- RouteAdmission.cpp - Groups of routes and their limits -------------===//
 #include "forward/RouteAdmission.h"
 
 #include <algorithm>
--- a/packages/forward/RttEstimate.cpp
+++ b/packages/forward/RttEstimate.cpp
@@ -1,4 +1,4 @@
-//===- RttEstimate.cpp ----------------------------------------------------===//
+//===- RttEstimate.cpp - Estimated round-trip time ------------------------===//
 #include "forward/RttEstimate.h"
 
 #include <algorithm>
--- a/packages/forward/ServiceTimeEstimate.cpp
+++ b/packages/forward/ServiceTimeEstimate.cpp
@@ -1,4 +1,4 @@
-//===- ServiceTimeEstimate.cpp --------------------------------------------===//
+//===- ServiceTimeEstimate.cpp - Median by fixed steps --------------------===//
 #include "forward/ServiceTimeEstimate.h"
 
 #include <algorithm>
--- a/packages/forward/WarmupShare.cpp
+++ b/packages/forward/WarmupShare.cpp
@@ -1,4 +1,4 @@
-//===- WarmupShare.cpp ----------------------------------------------------===//
+//===- WarmupShare.cpp - Owners of cold replicas --------------------------===//
 #include "forward/WarmupShare.h"
 
 #include <algorithm>
