--- a/tests/ForwardWorld.cpp
+++ b/tests/ForwardWorld.cpp
@@ -1,4 +1,4 @@
-//===- ForwardWorld.cpp ---------------------------------------------------===//
+//===- ForwardWorld.cpp - Model of replicas, daemons and callers ----------===//
 #include "ForwardWorld.h"
 
 #include <stdexcept>
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// A connection to a dark host ends after the pool's connect timeout.
+/// A connection to an unreachable host (Trouble::Dark) fails after the pool's
+/// connect timeout.
 constexpr Duration ConnectTimeout = Millis(120);
 
 ServingConfig makeConfig(const WorldShape &Shape) {
@@ -147,7 +148,8 @@
   apply(J, J->Run.begin(Daemons[J->Home]->Shared, Now));
 }
 
-/// The caller comes back when it was told, but keeps two thirds of its time.
+/// The caller retries after \p RetryAfter, or after a third of its remaining
+/// time if that is sooner.
 void ForwardWorld::refused(const JobPtr &J, Duration RetryAfter) {
   ++Figures.Refused;
   Duration Left = J->Run.request().Matched->Timeout - (Now - J->Began);
@@ -179,9 +181,9 @@
     at(std::max(*Next, Now + Micros(1)), [this, Home] { pollAdmission(Home); });
 }
 
-/// Credit as callers see it: an answer in time is worth the square of the share
-/// of its parts, a late one a tenth of that, one in time of a second try that
-/// followed a refusal the mean of the two.
+/// The credit of an answer in time is the square of the fraction of its parts
+/// that succeeded; that of a late one is a tenth of it. If it is late only
+/// because an earlier attempt was refused, it is the mean of the two.
 void ForwardWorld::count(const Job &J, const ForwardAnswer &A) {
   double Share = 0;
   if (const auto *M = std::get_if<MergedAnswer>(&A))
@@ -244,7 +246,7 @@
       SendResult Result;
       Result.How = How;
       Result.ConnectionRefused = How == SendStatus::Lost && !Connected;
-      // As a new connection would have told.
+      // The connect time of a new connection: one RTT.
       if (How == SendStatus::Answered)
         Result.Opened = 2 * Matched;
       if (How == SendStatus::Answered || How == SendStatus::Rejected)
--- a/tests/failure/DeadReplicasAreEjected.cpp
+++ b/tests/failure/DeadReplicasAreEjected.cpp
@@ -1,7 +1,8 @@
 // Guards against callers that pay for a dead replica: one that refuses
-// connections, or accepts requests and answers nothing. After a few failures it
-// is ejected and probed with a connection of its own. When the probe succeeds
-// it is used again, and one more loss ejects it. A pause does not.
+// connections, or accepts requests and answers nothing. After one failed
+// connection or a few lost sends in a row it is ejected and probed with a
+// connection of its own. When the probe succeeds it is used again, and one more
+// loss ejects it. A pause does not.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
--- a/tests/failure/PartsAreMissing.cpp
+++ b/tests/failure/PartsAreMissing.cpp
@@ -1,8 +1,8 @@
 // Guards against late or wrong answers when shards fail, hang or have no
 // replica. Lost, rejected and slow sends are retried within the route's
 // attempts. When the latency objective is about to pass, the answer is sent
-// with the parts at hand and says which are missing; if too many are, it is an
-// error at once.
+// with the parts at hand and says how many are missing; if too many are, it is
+// an error at once.
 #include "ForwardFixture.h"
 
 #include <doctest/doctest.h>
--- a/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
+++ b/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
@@ -40,7 +40,8 @@
   Instant Now{Seconds(500)};
   for (int Step = 0; Step < 60000; ++Step) {
     Now += Millis(1);
-    // Traffic in waves: quiet seconds must not pay for busy ones.
+    // Busy and quiet phases of 7 s alternate: what a quiet phase leaves unused
+    // must not be available in a busy one.
     bool Busy = (Step / 7000) % 2 == 0;
     if (uniform01(Rng) > (Busy ? 0.3 : 0.01))
       continue;
--- a/tests/performance/ForwardUnderTrouble.cpp
+++ b/tests/performance/ForwardUnderTrouble.cpp
@@ -153,7 +153,7 @@
   CHECK(O.Extra < 0.2);
 }
 
-/// Twelve times 30 queries per second in each of three zones, where the
+/// 30 queries per second in each of three zones, which bursts multiply. The
 /// replicas of a shard together complete 800 per second.
 WorldShape manyCallers() {
   WorldShape S;
@@ -174,7 +174,8 @@
       replay("burst x12, all start", Open, Burst, Seconds(1), Seconds(5));
   Outcome With =
       replay("burst x12", manyCallers(), Burst, Seconds(1), Seconds(5));
-  // Replicas that are never idle could serve 0.74 of the queries.
+  // Replicas that are never idle could serve 0.74 of the queries: 800 of 1080
+  // per second.
   CHECK(Without.Worth < 0.3);
   CHECK(With.Worth > 0.4);
   CHECK(With.Extra < 0.1);
