--- a/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
+++ b/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
@@ -1,7 +1,7 @@
-// Guards against retries that add load when there is already too much. A fifth
-// of the replicas fails, six daemons want a further send for each request, and
-// one of them restarts without its counts. In any ten seconds, the further
-// sends of all daemons stay within a fraction of the requests plus a constant.
+// Guards against retries that add load when there is already too much. Six
+// daemons want a further send for each request, as while replicas fail, and one
+// of them restarts without its counts. In any ten seconds, the further sends of
+// all daemons stay within a fraction of the requests plus a constant.
 #include "shallotshift/forward.h"
 
 #include <algorithm>
