--- a/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
+++ b/tests/failure/RetryBudgetHoldsInEveryWindow.cpp
@@ -1,7 +1,7 @@
-// Guards against retries that add load when there is already too much. A fifth
-// of the replicas fails, six daemons want a further send for each request, and
-// one of them restarts without its counts. In any ten seconds, the further
-// sends of all daemons stay within a fraction of the requests plus a constant.
+// Guards against retries that add load when there is already too much. Six
+// daemons want a further send for each request, as while replicas fail, and one
+// of them restarts without its counts. In any ten seconds, the further sends of
+// all daemons stay within a fraction of the requests plus a constant.
 #include "shallotshift/forward.h"
 
 #include <algorithm>
@@ -40,7 +40,8 @@
   Instant Now{Seconds(500)};
   for (int Step = 0; Step < 60000; ++Step) {
     Now += Millis(1);
-    // Traffic in waves: quiet seconds must not pay for busy ones.
+    // Busy and quiet phases of 7 s alternate: what a quiet phase leaves unused
+    // must not be available in a busy one.
     bool Busy = (Step / 7000) % 2 == 0;
     if (uniform01(Rng) > (Busy ? 0.3 : 0.01))
       continue;
