--- a/packages/limits/Admission.h
+++ b/packages/limits/Admission.h
@@ -7,10 +7,10 @@
 // the starts, so that low-priority work is delayed and not starved.
 //
 // A request is refused as soon as it is expected not to start within its
-// class's QueueWait or before its deadline: on arrival in most cases, or later
-// when the limit falls or requests of better priority arrive. No request is
-// queued if it is already certain to be refused. A refused request has not been
-// executed.
+// class's QueueWait or early enough to meet its deadline at the class's typical
+// latency: on arrival in most cases, or later when the limit falls or requests
+// of better priority arrive. No request is queued if it is already certain to
+// be refused. A refused request has not been executed.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_ADMISSION_H
@@ -93,13 +93,16 @@
     CallerClass Class;
     ClassPolicy Policy;
     bool InPreset = true;
-    double Credit = 0; ///< Grows by MinClassShare with each start.
+    /// Grows by MinClassShare with each start while requests wait here. From 1
+    /// on, the class goes before those of better priority; a start costs 1.
+    double Credit = 0;
     std::map<std::uint64_t, Waiter> Waiting; ///< By arrival.
     std::set<std::pair<Instant, std::uint64_t>> Expiry;
     internal::StartRate Rate;
-    /// From start to end, kept per class: slots serve better priorities first,
-    /// so a routine pull takes many times longer than a desk check. With one
-    /// mean for all classes every desk check would seem to miss its deadline.
+    /// From start to end, kept per class: SlotQueue serves better priorities
+    /// first, so a routine pull takes many times longer than a desk check. With
+    /// one mean for all classes every desk check would seem to miss its
+    /// deadline.
     internal::ClippedMean Latency{Duration{0}};
   };
   using Queues = std::map<CallerClass, ClassQueue>;
--- a/packages/limits/AdmissionDecision.h
+++ b/packages/limits/AdmissionDecision.h
@@ -24,7 +24,8 @@
   AdmissionAction What = AdmissionAction::Start;
   /// For Refuse: a 2xxx code; otherwise Ok.
   ResultCode Code = ResultCode::Ok;
-  /// For Refuse: when a retry may succeed; 0: a retry is pointless.
+  /// For Refuse: delay after which a retry may succeed; 0: a retry is
+  /// pointless.
   Duration RetryAfter{0};
 
   static AdmissionDecision start() { return {}; }
@@ -50,8 +51,8 @@
 
 using AdmissionEvents = std::vector<AdmissionEvent>;
 
-/// Bounds of every RetryAfter. An earlier retry would hit the same overload, a
-/// later one would keep callers away after it has passed.
+/// Bounds of every RetryAfter other than 0. An earlier retry would hit the same
+/// overload, a later one would keep callers away after it has passed.
 inline constexpr Duration MinRetryAfter = Millis(100);
 inline constexpr Duration MaxRetryAfter = Seconds(10);
 
--- a/packages/limits/Budget.h
+++ b/packages/limits/Budget.h
@@ -41,8 +41,8 @@
   void refund();
 
   /// Applies another preset's percentage. The balance is kept, except that a
-  /// budget that was 0 starts with InitialTokens and one that becomes 0 is
-  /// emptied.
+  /// budget whose percentage was 0 starts with InitialTokens and one whose
+  /// percentage becomes 0 is emptied.
   void setPercent(double P);
 
   double balance() const { return Tokens; }
--- a/packages/limits/ConcurrencyLimit.h
+++ b/packages/limits/ConcurrencyLimit.h
@@ -3,8 +3,9 @@
 // Limits the queries that one entry daemon keeps in flight, by additive
 // increase and multiplicative decrease (AIMD). The signal is the queueing time
 // measured at the slots' holders and their refusals, not latency: one straggler
-// in a fan-out of 62 raises latency without any overload, whereas a queue in
-// front of slots always means overload (compared in docs/design/limits.md).
+// in a fan-out of 62 raises latency without any overload, whereas a mean wait
+// for slots above TargetQueued always means overload (compared in
+// docs/design/limits.md).
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_LIMITS_CONCURRENCYLIMIT_H
@@ -34,12 +35,13 @@
   /// Fraction of overloaded queries in a window above which the fleet counts as
   /// overloaded.
   double TargetOverloaded = 0.02;
-  /// At most one step is made in this time and in two typical latencies.
+  /// At most one step is made in this time and, up to MaxWindow, in two typical
+  /// latencies.
   /// Queries that end sooner started before the last step and do not reflect
   /// it.
   Duration Window = Millis(50);
-  /// Maximum length of a window. A longer one would keep a limit that is far
-  /// too high for many seconds.
+  /// Bound of the two typical latencies in Window. A higher one would keep a
+  /// limit that is far too high for many seconds.
   Duration MaxWindow = Millis(250);
   double Increase = 1;   ///< Additive step up.
   double Decrease = 0.9; ///< Factor of a step down.
@@ -47,7 +49,8 @@
       1.5; ///< Factor of a step up until the first step down.
 };
 
-/// Minimum samples in a window; fewer are not significant.
+/// Minimum samples in a window, which stays open until it has them; fewer are
+/// not significant.
 inline constexpr unsigned MinLimitSamples = 8;
 
 class ConcurrencyLimit {
--- a/packages/limits/HandoverGuard.h
+++ b/packages/limits/HandoverGuard.h
@@ -69,9 +69,10 @@
     unsigned Slots = 0;
   };
   struct Entry {
-    Share Held;                ///< By the last update().
-    unsigned Usable = 0;       ///< Slots.
-    std::vector<Gain> Pending; ///< Oldest first; Held less Usable.
+    Share Held;          ///< By the last update().
+    unsigned Usable = 0; ///< Slots.
+    /// Oldest first. Their slots and Usable add up to Held.Slots.
+    std::vector<Gain> Pending;
   };
 
   static Share shareOf(const Entry &E);
--- a/packages/limits/SlotAllocation.cpp
+++ b/packages/limits/SlotAllocation.cpp
@@ -105,7 +105,9 @@
   std::vector<std::uint64_t> Hash; ///< Of the host name, by member.
   std::vector<std::uint32_t> AllDaemons;
   std::map<AvailabilityZone, std::vector<std::uint32_t>> ByZone;
-  std::vector<unsigned> Load;      ///< Slots so far, with all equal shares.
+  /// Slots by member: the remainders so far and the equal shares of all
+  /// services.
+  std::vector<unsigned> Load;
   std::vector<unsigned> LoadLimit; ///< Applies to remainders.
 
   // State of the service that is being allocated.
--- a/packages/limits/SlotQueue.h
+++ b/packages/limits/SlotQueue.h
@@ -37,8 +37,8 @@
   Instant Deadline;      ///< Of the caller's request.
 };
 
-/// State of the queue, sent with each reply so that senders can choose holders
-/// by it.
+/// State of the queue, by which this daemon ranks upstreams and holders.
+/// Replies to other daemons carry only Waiting (SubReply::HolderQueue).
 struct SlotQueueReport {
   unsigned InWork = 0;
   unsigned Waiting = 0;
@@ -65,7 +65,8 @@
   bool cancel(TicketId Id);
 
   /// Sets the usable share (HandoverGuard). If it shrinks, running requests
-  /// continue and still count; without slots all waiting requests are refused.
+  /// continue and still count; without slots the next poll() refuses all
+  /// waiting requests.
   void setShare(Share S);
 
   /// Returns the starts and refusals that are due.
