--- a/packages/crashguard/QuarantineGate.h
+++ b/packages/crashguard/QuarantineGate.h
@@ -26,7 +26,8 @@
 /// Maximum wait for a trial. The store usually grants one within milliseconds;
 /// while it is slow, a caller should retry later instead of waiting.
 inline constexpr Duration MaxTrialWait = Millis(250);
-/// Retry delay for callers, by which another daemon's trial has ended.
+/// Retry delay sent to a caller whose request was not granted a trial. A trial
+/// that another daemon makes meanwhile has ended by then.
 inline constexpr Duration TrialRetryDelay = Millis(400);
 
 /// Identifies a caller's attempt in logs and records.
--- a/packages/crashguard/QuarantineSync.h
+++ b/packages/crashguard/QuarantineSync.h
@@ -5,10 +5,11 @@
 // of all hosts, and its conditional writes let daemons agree without knowing of
 // each other.
 //
-// Writes are made one at a time and at a bounded rate: a flood of distinct
-// requests that crash replicas costs the fleet FleetWritesPerSecond. A failed
-// write of evidence is retried; a trial that cannot be written at once is
-// refused, because a caller waits for it.
+// Evidence is written one record at a time, trials are written without waiting
+// for it, and both at a bounded rate: a flood of distinct requests that crash
+// replicas costs the fleet FleetWritesPerSecond. A failed write of evidence is
+// retried; a trial that cannot be written at once is refused, because a caller
+// waits for it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_CRASHGUARD_QUARANTINESYNC_H
@@ -28,7 +29,8 @@
 inline constexpr double FleetWritesPerSecond = 40;
 /// Bounds of one daemon's write rate, whatever the size of the fleet. Each
 /// written record is sent to all daemons, so even in a fleet of thousands it is
-/// the fleet's rate that must stay bounded.
+/// the fleet's rate that must stay bounded. Above 2,000 daemons the minimum
+/// lets the fleet exceed FleetWritesPerSecond.
 inline constexpr double MinDaemonWritesPerSecond = 0.02;
 inline constexpr double MaxDaemonWritesPerSecond = 2;
 /// Burst of writes of one daemon; a request that crashes replicas takes three
@@ -59,7 +61,8 @@
         T.now());
   }
 
-  /// Makes the next pending write, if any.
+  /// Makes the pending writes one after another while the rate allows it. Has
+  /// no effect while one is in progress or backing off.
   void pump() {
     if (Busy)
       return;
@@ -89,7 +92,8 @@
   }
 
   /// Must be called every QuarantineSyncInterval. \p Prunes: this daemon
-  /// removes expired evidence from the store.
+  /// removes expired evidence from the store and renews inconclusive trials
+  /// there.
   void tick(WallTime Now, bool Prunes) {
     Table.expire(Now, Prunes);
     pump();
@@ -111,7 +115,8 @@
   static constexpr Duration FirstBackoff = Millis(150);
   static constexpr Duration MaxBackoff = Millis(1500);
   static constexpr std::size_t MaxLoggedNameBytes = 80;
-  /// Attempts at a write that conflicts with other daemons' writes.
+  /// Attempts at the write of a trial that conflicts with other daemons'
+  /// writes.
   static constexpr int MaxTrialTries = 3;
 
   template <typename F> auto guarded(F Fn) {
--- a/packages/quarantine/Quarantine.h
+++ b/packages/quarantine/Quarantine.h
@@ -23,8 +23,9 @@
 // harmless.
 //
 // A flood of distinct requests is bounded to MaxQuarantineEntries entries of a
-// few hundred bytes in the daemon and MaxSharedRecords objects in the store;
-// unproven records are evicted first, then the oldest.
+// few hundred bytes in the daemon, which then ignores crashes under further
+// requests, and to MaxSharedRecords objects in the store, where the oldest
+// unproven record is evicted first and proven ones only if there is no other.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_QUARANTINE_QUARANTINE_H
@@ -41,11 +42,14 @@
 /// Maximum number of records in the store. More distinct queries of death mean
 /// a broken release. A starting daemon reads about 300 KB of records.
 inline constexpr std::size_t MaxSharedRecords = 1000;
-/// Maximum number of requests with evidence in one daemon, shared or not.
+/// Number of requests with evidence in one daemon, shared or not, from which on
+/// crashes under further requests are not recorded.
 inline constexpr std::size_t MaxQuarantineEntries = 4000;
-/// Time in milliseconds after which unconfirmed evidence expires and
-/// inconclusive trials are renewed. A proven record stays until an operator
-/// removes it: without it the request would crash as many replicas again.
+/// Time in milliseconds without a crash after which evidence that is not in the
+/// store and shared records in the state Suspect expire, and inconclusive
+/// trials are renewed. A shared record on trial does not expire. A proven one
+/// stays until an operator removes it: without it the request would crash as
+/// many replicas again.
 inline constexpr WallTime EvidenceLifetimeMs = 600'000;
 
 /// A record in the store.
@@ -85,7 +89,8 @@
   /// Clears the request. Returns true if there was evidence against it.
   bool succeeded(const RequestFingerprint &R);
 
-  /// Replaces all records by the store's list at \p Revision.
+  /// Applies the store's list of all records at \p Revision. Local evidence
+  /// that is not in the store and newer records are kept.
   void replaceAll(const std::vector<SharedRecord> &Now, std::uint64_t Revision);
   /// Applies a record from the store unless its revision is already known or
   /// outdated.
@@ -96,7 +101,8 @@
   void remove(const RequestFingerprint &R, std::uint64_t Revision);
 
   /// The next write to make; empty if the store is up to date. Returns the same
-  /// write until the store's record changes.
+  /// write until the store's record changes, but the return of a trial only
+  /// until writeStarted().
   std::optional<QuarantineWrite> nextWrite() const;
   /// Reports the start and the end of a write of the record of \p R. If a run
   /// succeeds in between, the written record is removed again.
--- a/packages/quarantine/QuarantineRecord.cpp
+++ b/packages/quarantine/QuarantineRecord.cpp
@@ -19,8 +19,8 @@
 constexpr char RouteField[] = "route";
 constexpr char PathField[] = "path";
 
-/// Truncates names and paths written by others: every daemon keeps them in
-/// memory.
+/// Maximum length of a name or path in a parsed record. Longer ones, which
+/// other programs may write, are truncated: every daemon keeps them in memory.
 constexpr std::size_t MaxTextBytes = 160;
 
 Result<Json> field(const Json &Content, const char *Name,
--- a/packages/quarantine/QuarantineRecord.h
+++ b/packages/quarantine/QuarantineRecord.h
@@ -57,7 +57,8 @@
   std::vector<std::string> Crashed;
   unsigned Trials = 0; ///< Granted so far.
   bool Proven = false; ///< A trial crashed its replica.
-  /// Time of the last crash, for expiry and for operators.
+  /// Time of the last crash or renewal of the trials, for expiry and for
+  /// operators.
   WallTime SeenAt = 0;
   std::string Route; ///< For operators.
   std::string Path;  ///< For operators; truncated.
@@ -68,7 +69,8 @@
 };
 
 /// Names one process of a replica. A restart under the same id is a different
-/// process.
+/// process, unless \p StartedUnixMs is 0 (unknown): the name is then the id,
+/// and all processes with this id count as one.
 std::string processName(const UpstreamId &Id, std::uint64_t StartedUnixMs);
 
 /// Merges the evidence of two records of the same request.
