--- a/tests/performance/BenchOverload.cpp
+++ b/tests/performance/BenchOverload.cpp
@@ -29,7 +29,8 @@
 }
 
 /// Measures goodput by load, with overload control and for the baseline.
-/// Returns the figures with overload control at twice the capacity.
+/// Returns the figures with overload control at twice the capacity and sets
+/// both peaks and the baseline's goodput at twice the capacity.
 Figures sweep(double &Peak, double &BasePeak, double &BaseAtTwice) {
   Figures AtTwice;
   for (double Load : {0.5, 0.7, 0.8, 0.9, 1.0, 1.2, 1.5, 2.0}) {
--- a/tests/performance/BenchSlotAllocation.cpp
+++ b/tests/performance/BenchSlotAllocation.cpp
@@ -1,6 +1,7 @@
 // Cost, balance and stability of the slot allocation by numbers of members and
-// upstreams. Times are only printed; bytes and counts, which are the same on
-// every machine, are checked. Prints lines of "name value unit bound".
+// upstreams. Memory and the largest load of a daemon, which are the same on
+// every machine, are checked; times and moved slots are only printed. Prints
+// lines of "name value unit bound".
 #include "AllocationFixture.h"
 #include "performance/BenchReport.h"
 
