--- a/packages/fleet/GossipMessage.h
+++ b/packages/fleet/GossipMessage.h
@@ -2,8 +2,8 @@
 //
 // The messages of the membership protocol as plain values; package peer encodes
 // and decodes datagrams. Every message carries the sender's own state and a few
-// recent member updates, so that updates are piggybacked on probes and need no
-// messages of their own.
+// recent member updates, so that updates are piggybacked on probes. Only fresh
+// updates are also sent in messages of their own (Notice).
 //
 // Updates about one member are ordered by (incarnation, version, health). The
 // incarnation changes at every start. The member itself raises the version
@@ -36,7 +36,7 @@
 
 enum class GossipKind : std::uint8_t {
   Probe,         ///< Checks that the target is alive; answered by Ack.
-  Ack,           ///< Answers a Probe, or relays the answer to a helper.
+  Ack,           ///< Answers a Probe, directly or relayed by a helper.
   IndirectProbe, ///< Asks a helper to probe Target; answered by Ack or Nack.
   Nack,          ///< The helper is alive, but Target did not answer it.
   SyncRequest,   ///< Sends digests and asks for the buckets that differ.
@@ -59,7 +59,8 @@
   friend bool operator==(const MemberUpdate &, const MemberUpdate &) = default;
 };
 
-/// Revisions of the store's other objects that a daemon has read.
+/// The revisions that a daemon has read of the objects that the store holds
+/// besides the configuration.
 struct StoreRevisions {
   std::uint64_t Quarantine = 0; ///< Of the requests that crash replicas.
   std::uint64_t Evacuations = 0;
@@ -100,8 +101,10 @@
 /// Upper bound of the size of \p M as a datagram.
 std::size_t wireBytes(const GossipMessage &M);
 
-/// Checks what can be checked of a message without context: sizes of lists, the
-/// sender's name and the announced states. Fails with PeerBadMessage.
+/// Checks what can be checked of a message without context: the sizes of lists
+/// and, of the sender and each update, the host name, the announced state and
+/// the gossip port. Fails with BadName for a host name, otherwise with
+/// PeerBadMessage.
 Result<void> checkMessage(const GossipMessage &M);
 
 /// Orders updates about one host by incarnation, version and health.
--- a/packages/fleet/MemberTable.h
+++ b/packages/fleet/MemberTable.h
@@ -27,13 +27,15 @@
   MemberUpdate Update;
   /// The host list marks this incarnation as leaving.
   bool ListedLeaving = false;
-  std::vector<HostId> Accusers; ///< Empty unless Suspect.
+  std::vector<HostId> Accusers; ///< Empty while Trusted.
   Instant SuspectedAt;
   bool Probed = false; ///< This daemon has probed the suspect itself.
   Instant DeadSince;   ///< When it became Failed or Left.
   /// When this daemon saw it become Alive; empty if it was found Alive.
   std::optional<Instant> AliveSince;
-  Instant HeardAt; ///< When its last message reached this daemon.
+  /// When its last message reached this daemon; before the first one, when this
+  /// daemon learned of the member.
+  Instant HeardAt;
   std::uint64_t ConfigGeneration = 0;
   std::uint64_t ConfigHead = 0;
   StoreRevisions Revisions;
@@ -58,7 +60,7 @@
 enum class MergeResult : std::uint8_t {
   Ignored,    ///< Not newer than the record.
   Updated,    ///< Changed the record; broadcast it.
-  NeedsProbe, ///< Another daemon considers a member that we trust Failed.
+  NeedsProbe, ///< Another daemon considers Failed a member that we trust.
   AtCapacity, ///< An unknown member was ignored.
 };
 
--- a/packages/fleet/Membership.h
+++ b/packages/fleet/Membership.h
@@ -60,7 +60,8 @@
   /// Suspicion timeout = SuspicionPeriods x log10(members, at least 10) x mean
   /// period when several members accuse, twice as long when only one does.
   double SuspicionPeriods = 3;
-  /// A longer time between ticks means that this process was suspended.
+  /// A longer time between two calls of the driver (ticks, messages) means that
+  /// this process was suspended.
   Duration PauseThreshold = Millis(1500);
   /// How long Failed and Left members are kept. Must exceed the longest
   /// expected partition between regions.
@@ -123,8 +124,11 @@
 struct MembershipEvent {
   MembershipEventKind Kind = MembershipEventKind::Joined;
   DaemonId Who;
-  HostId By;            ///< The member that reported it; empty if local.
-  std::string Evidence; ///< For people: "no answer to 3 helpers in 412 ms".
+  /// The member that reported or observed it, possibly this daemon; empty for
+  /// pauses, the host list and expired tombstones.
+  HostId By;
+  /// For people: "no answer in 412 ms; 3 of 3 helpers had none either".
+  std::string Evidence;
 
   friend bool operator==(const MembershipEvent &,
                          const MembershipEvent &) = default;
@@ -171,8 +175,8 @@
   /// Sets the state of this daemon (Starting, Alive, Leaving or Left) and
   /// notifies a few members at once. Has no effect once the state is Left.
   MembershipOutput setSelfState(MemberState State, Instant Now);
-  /// Sets the announced load of this host (Member::Load). It is piggybacked on
-  /// other messages within a second or two and needs none of its own.
+  /// Sets the announced load of this host (Member::Load). Like other updates,
+  /// it is piggybacked on probes and sent in Notices while it is fresh.
   MembershipOutput setSelfLoad(std::uint32_t Load, Instant Now);
   /// Sends the state and configuration of this daemon and recent updates to
   /// \p Peers at once. Unknown peers are skipped.
@@ -188,16 +192,18 @@
   /// Returns false after a pause until two peers (or all, if there are fewer)
   /// have answered again, and forever once a later incarnation of this host is
   /// known. Check it before every action that others rely on. It compares
-  /// \p Now with the last tick, so it is correct even before the first tick
-  /// after a pause.
+  /// \p Now with the last call of the driver, so it is correct even before the
+  /// first tick after a pause.
   bool mayAct(Instant Now) const;
   /// The reason why mayAct() is false; empty when it is true.
   std::string refusalReason(Instant Now) const;
-  /// Returns true when the view can be relied on after a start: either the
-  /// table of a peer equals ours or no seed has answered, and no new member was
-  /// found for SettleTime.
+  /// Returns true when the view can be relied on after a start: either a peer's
+  /// table equals ours (almost, in a large fleet) and no new member was found
+  /// for SettleTime, or no other member is known SettleTime after every seed
+  /// was asked.
   bool settled(Instant Now) const;
-  /// Live members that have answered since the start or the last pause.
+  /// Live members that have answered a table comparison since the start or the
+  /// last pause.
   std::size_t peersHeard() const;
   /// Live members other than this daemon.
   std::size_t peersKnown() const;
--- a/packages/fleet/MembershipProbes.cpp
+++ b/packages/fleet/MembershipProbes.cpp
@@ -25,8 +25,8 @@
 /// The most members queued for a probe out of turn.
 constexpr std::size_t MaxProbeRequests = 64;
 
-/// The number of probes that all daemons together send to one Failed member per
-/// TombstoneProbePeriod, independent of the fleet size.
+/// About the most probes that all daemons together send to one Failed member
+/// per TombstoneProbePeriod, independent of the fleet size.
 constexpr double SendersPerTombstone = 4;
 
 constexpr Duration ExpiryPeriod = Seconds(1);
@@ -50,9 +50,9 @@
   startPeriod(Now);
 }
 
-/// Accuses a member that answered neither us nor the helpers. Not if it sent
-/// us a message or raised its version meanwhile: then the member is alive, and
-/// only the path to it failed.
+/// Accuses a member that answered neither us nor the helpers. A member that
+/// sent us a message or raised its version meanwhile is not accused: it is
+/// alive, and only the path to it failed.
 void Membership::Impl::endPeriod(Instant Now) {
   if (!Probe)
     return;
@@ -202,7 +202,8 @@
 
 /// A refutation may be delayed by many other updates, as after a partition. So
 /// every daemon probes a suspect itself before it marks it Failed: the probe
-/// carries the accusation and the answer the refutation. At most one per tick.
+/// carries the accusation and the answer the refutation. At most one suspect
+/// is probed per tick.
 void Membership::Impl::probeSuspect(const Member &Who) {
   Table.setProbed(Who.Id.Host);
   sendProbe(Who.Gossip, Who.Id);
--- a/packages/fleet/MembershipSync.cpp
+++ b/packages/fleet/MembershipSync.cpp
@@ -25,8 +25,9 @@
 /// Seeds asked at a time by a daemon that has not heard from any peer.
 constexpr std::size_t SeedsPerAttempt = 3;
 
-/// The number of requests that all daemons together send to one seed that is no
-/// member per TombstoneProbePeriod, independent of the fleet size.
+/// About the most requests that all daemons together send to one seed that is
+/// no member per TombstoneProbePeriod, independent of the fleet size. Daemons
+/// that have not heard from any peer ask more often.
 constexpr double SendersPerSeed = 4;
 
 /// A large fleet is always changing. The view of a daemon that starts may
@@ -167,7 +168,8 @@
   }
 }
 
-/// Seeds without a live member. Failed members are probed as tombstones.
+/// Seeds without a live member, and listed hosts that are unknown or Left.
+/// Listed hosts that are Failed are probed as tombstones.
 std::vector<Endpoint> Membership::Impl::unknownSeeds() const {
   std::vector<Endpoint> Unknown;
   for (const Endpoint &E : Seeds)
--- a/packages/fleet/MembershipUpdates.cpp
+++ b/packages/fleet/MembershipUpdates.cpp
@@ -28,7 +28,7 @@
 /// considered it Failed: the time for its refutation to spread.
 constexpr Duration SelfFailedTime = Seconds(3);
 
-/// An update sent less often than FreshSends is fresh. Fresh updates are sent
+/// An update sent fewer than FreshSends times is fresh. Fresh updates are sent
 /// to one member per FreshBroadcastPeriod, besides being piggybacked on probes:
 /// 5 datagrams of at most 1,200 bytes per second, and none at rest.
 constexpr unsigned FreshSends = 8;
@@ -223,8 +223,9 @@
   if (U.Who.Id != Self.Who.Id || U.ObservedHealth == Health::Trusted ||
       Self.Who.State == MemberState::Left)
     return;
-  // Even if refuted before: some members may have reached Failed after a
-  // suspicion of which we only saw the beginning. Once for each version.
+  // Show this daemon as Failed even if it refuted the suspicion: some members
+  // may have reached Failed after a suspicion of which we only saw the
+  // beginning. This is done once for each version.
   if (U.ObservedHealth == Health::Failed && U.Version >= NextFailedVersion) {
     NextFailedVersion = U.Version + 1;
     showSelfFailed(Now);
