--- a/packages/fleet/ConfigSync.h
+++ b/packages/fleet/ConfigSync.h
@@ -159,10 +159,10 @@
 struct ConfigStatus {
   std::uint64_t Generation = 0; ///< The generation in force; 0 if none.
   Instant Since{};              ///< When it was installed.
-  ConfigSource Source;          ///< Where it was fetched from.
+  ConfigSource Source;          ///< Where it came from.
   std::uint64_t HighestHeard = 0;
   ConfigSource HeardFrom;
-  unsigned ConfirmedBy = 0; ///< Peers that have the same generation.
+  unsigned ConfirmedBy = 0; ///< ConfigSync::confirmedBy().
   bool ConfirmedByPlatform = false;
   bool Watching = false;
   std::uint64_t Installs = 0;
--- a/packages/fleet/EntryDirectory.h
+++ b/packages/fleet/EntryDirectory.h
@@ -2,19 +2,22 @@
 //
 // There is no load balancer in front of the fleet. A caller asks any daemon for
 // addresses, caches the answer for its validity and connects to them. The
-// answer is a pure function of the fleet view, the caller's key and its zone,
-// so every daemon gives the same one, also while the platform is down.
+// answer is a pure function of the fleet view, the caller's key, its zone and
+// the weights of members, so every daemon with the same view gives the same
+// one, also while the platform is down. Only the weights of members that are
+// warming up may differ between daemons.
 //
 //   - Members are ranked by weighted rendezvous hashing. When a member fails,
 //     only its own callers move, spread evenly over the remaining members.
 //   - Members of the caller's zone rank first, then those of its region, then
 //     all others.
-//   - The last address is in another zone than the first, so that a caller can
+//   - If several addresses are returned, they are in at least two zones where
+//     possible (the last address is replaced if need be), so that a caller can
 //     fail over without asking again when a zone fails.
 //   - The validity varies from caller to caller, so that callers do not all ask
 //     again at the same time.
-//   - Only Alive members are returned, followed by suspected ones; never one
-//     that is Starting, Leaving, Failed or Left.
+//   - Only Alive members and, after them, suspected ones are returned; never
+//     one that is Starting, Leaving, Failed or Left.
 //
 //===----------------------------------------------------------------------===//
 #ifndef SHALLOTSHIFT_FLEET_ENTRYDIRECTORY_H
--- a/packages/fleet/Lifecycle.h
+++ b/packages/fleet/Lifecycle.h
@@ -48,9 +48,11 @@
   bool PlatformAnswered = false;
   std::size_t PeersKnown = 0; ///< Live members besides this one.
   std::size_t PeersHeard = 0; ///< Live peers that have answered.
-  /// Live peers whose generation is not higher than the installed one.
+  /// Peers known to have exactly the installed generation; 0 while one is known
+  /// to have a higher one (ConfigSync::confirmedBy()).
   std::size_t PeersConfirm = 0;
-  /// A peer announced a higher generation than the installed one.
+  /// A peer or the platform announced a higher generation than the installed
+  /// one.
   bool PeerIsAhead = false;
   bool ViewSettled = false; ///< Membership::settled().
   std::size_t InFlight = 0; ///< Requests in flight, including relayed ones.
--- a/packages/fleet/LoadLevel.cpp
+++ b/packages/fleet/LoadLevel.cpp
@@ -47,7 +47,8 @@
   double Utilization = std::clamp(BusyFraction, 0.0, 1.0);
   FastAverage +=
       (Utilization - FastAverage) * sampleWeight(Passed, FastTimeConstant);
-  // The average starts over the time seen so far rather than at zero.
+  // At first the average covers only the time seen so far, so that it does not
+  // grow slowly from zero.
   Duration Seen = std::min(SlowTimeConstant, Now - ServingSince);
   SlowAverage += (Utilization - SlowAverage) *
                  sampleWeight(Passed, std::max(Passed, Seen));
--- a/packages/fleet/LoadLevel.h
+++ b/packages/fleet/LoadLevel.h
@@ -27,7 +27,7 @@
   /// Takes the fraction of the time since the last call in which the process
   /// was busy, and whether it has served any callers. Call at least once a
   /// second. Returns the load to announce in millicores; 0 until callers have
-  /// been served for a few seconds.
+  /// been served for a few seconds or the utilization exceeds one half.
   std::uint32_t observe(double BusyFraction, bool Served, Instant Now);
 
 private:
--- a/packages/fleet/WatcherChoice.h
+++ b/packages/fleet/WatcherChoice.h
@@ -26,8 +26,8 @@
 std::vector<DaemonId> watchersOf(const AvailabilityZone &Zone,
                                  const std::vector<Member> &Members);
 
-/// Returns true if \p Self is a watcher of its zone. A daemon that is missing
-/// from the view considers itself the only member.
+/// Returns true if \p Self is one of the watchers of \p Zone, or if \p Members
+/// has no candidate in the zone: then every daemon of the zone watches.
 bool isWatcher(const DaemonId &Self, const AvailabilityZone &Zone,
                const std::vector<Member> &Members);
 
