--- a/tests/failure/SplitRegionsMeetAgain.cpp
+++ b/tests/failure/SplitRegionsMeetAgain.cpp
@@ -1,7 +1,7 @@
-// Two regions are partitioned for an hour, and each considers the other Failed.
-// When the partition heals, each side reports the other side as Failed. No
-// member may be marked Failed because of that, and the message rate must stay
-// bounded.
+// Two regions are partitioned for an hour. Each considers the other Failed and
+// must keep serving. When the partition heals, each side reports the other side
+// as Failed. No member may be marked Failed because of that, and the message
+// rate must stay bounded.
 #include "FleetBag.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet.cmake
+++ b/tests/fleet.cmake
@@ -11,7 +11,7 @@
 shallot_test(fleet_error PACKAGES fleet LABELS error
   SOURCES error/GossipIsChecked.cpp)
 
-# The small sizes judge in CI, all in virtual time.
+# CI checks the bounds of the small sizes. All sizes run in simulated time.
 shallot_bench(bench_membership PACKAGES fleet
   SOURCES performance/BenchMembership.cpp
   TEST bench_membership_small ARGUMENTS 6 48)
--- a/tests/performance/BenchMembership.cpp
+++ b/tests/performance/BenchMembership.cpp
@@ -19,7 +19,9 @@
 
 double secondsOf(Duration D) { return toMillisF(D) / 1000; }
 
-/// Datagrams and bytes sent per member and second, and the CPU time of ticks.
+/// Datagrams and bytes sent per member and second, the wall-clock time that one
+/// member takes per simulated second (including the simulation itself), and the
+/// memory of the largest member.
 void measureRest(FleetBag &Bag, std::size_t Members) {
   constexpr double RunSeconds = 60;
   std::uint64_t Datagrams = Bag.datagrams();
