--- a/packages/fleet/Membership.h
+++ b/packages/fleet/Membership.h
@@ -175,8 +175,9 @@
   /// Sets the state of this daemon (Starting, Alive, Leaving or Left) and
   /// notifies a few members at once. Has no effect once the state is Left.
   MembershipOutput setSelfState(MemberState State, Instant Now);
-  /// Sets the announced load of this host (Member::Load). Like other updates,
-  /// it is piggybacked on probes and sent in Notices while it is fresh.
+  /// Sets the announced load of this host (Member::Load). It reaches the other
+  /// members within a second or two: like other updates, it is piggybacked on
+  /// probes and sent in Notices while it is fresh.
   MembershipOutput setSelfLoad(std::uint32_t Load, Instant Now);
   /// Sends the state and configuration of this daemon and recent updates to
   /// \p Peers at once. Unknown peers are skipped.
